--- a/include/kingcupseam/directory.h
+++ b/include/kingcupseam/directory.h
@@ -74,15 +74,15 @@
 void validate(const configuration& wanted);
 
 /// One process lifetime of an upstream: a restarted one has a later start.
-struct upstream_life {
+struct upstream_incarnation {
     std::string id;
     std::int64_t started_ms = 0; ///< Unix time, by the upstream's clock
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted comparison.
-    auto operator<=>(const upstream_life&) const = default;
+    auto operator<=>(const upstream_incarnation&) const = default;
 };
 
 struct upstream {
-    upstream_life life;
+    upstream_incarnation incarnation;
     std::string service;
     std::string data_center;
     endpoint_address address;
@@ -98,7 +98,7 @@
 struct key_range {
     key_number first = 0;
     key_number last = 0;
-    upstream_life owner;
+    upstream_incarnation owner;
     std::uint64_t epoch = 0; ///< log index of the assignment; higher than that of any earlier owner
     bool operator==(const key_range&) const = default;
 };
@@ -113,7 +113,7 @@
     std::map<std::string, range_map> ranges;     ///< by service
 
     const key_range* owner_of(const std::string& service, key_number key) const;
-    const upstream* find(const upstream_life& life) const;
+    const upstream* find(const upstream_incarnation& incarnation) const;
     const upstream* find_address(const endpoint_address& address) const;
 };
 
@@ -123,7 +123,7 @@
     std::string service;
     key_number first = 0;
     key_number last = 0;
-    upstream_life owner;
+    upstream_incarnation owner;
     bool operator==(const assignment&) const = default;
 };
 
--- a/include/kingcupseam/key_ranges.h
+++ b/include/kingcupseam/key_ranges.h
@@ -50,7 +50,7 @@
 
 /// An upstream that may own more ranges.
 struct candidate {
-    directory::upstream_life life;
+    directory::upstream_incarnation incarnation;
     double weight = 1; ///< relative capacity
 };
 
@@ -58,8 +58,8 @@
 struct planned_move {
     key_number first = 0;
     key_number last = 0;
-    directory::upstream_life from; ///< empty id: nobody
-    directory::upstream_life target;
+    directory::upstream_incarnation from; ///< empty id: nobody
+    directory::upstream_incarnation target;
     bool operator==(const planned_move&) const = default;
 };
 
@@ -95,7 +95,7 @@
 struct call {
     std::uint64_t id = 0;
     call_kind kind = call_kind::grant;
-    directory::upstream_life target;
+    directory::upstream_incarnation target;
     endpoint_address address;
     key_number first = 0;
     key_number last = 0;
@@ -141,7 +141,7 @@
     struct move_part {
         key_number first = 0;
         key_number last = 0;
-        directory::upstream_life target;
+        directory::upstream_incarnation target;
         std::uint64_t open_call = 0; ///< 0 when no release is in progress
         time_point next_call;
         bool asked = false; ///< a release was sent: the upstream may have carried it out
@@ -149,7 +149,7 @@
         std::string handover;
     };
     struct handover_token {
-        directory::upstream_life target;
+        directory::upstream_incarnation target;
         std::string token;
     };
     /// What this leader knows about the lease of one range.
--- a/src/directory/codec.cpp
+++ b/src/directory/codec.cpp
@@ -107,8 +107,8 @@
 
 wire::RegisteredUpstream to_wire(const upstream& source) {
     wire::RegisteredUpstream result;
-    result.id = source.life.id;
-    result.started_ms = source.life.started_ms;
+    result.id = source.incarnation.id;
+    result.started_ms = source.incarnation.started_ms;
     result.service_name = source.service;
     result.data_center = source.data_center;
     result.address = to_string(source.address);
--- a/src/directory/snapshot.cpp
+++ b/src/directory/snapshot.cpp
@@ -52,9 +52,9 @@
 }
 
 void put_upstream(std::map<std::string, upstream>& upstreams, const upstream& change) {
-    const auto it = upstreams.find(change.life.id);
-    if (it == upstreams.end() || it->second.life.started_ms <= change.life.started_ms) {
-        upstreams.insert_or_assign(change.life.id, change);
+    const auto it = upstreams.find(change.incarnation.id);
+    if (it == upstreams.end() || it->second.incarnation.started_ms <= change.incarnation.started_ms) {
+        upstreams.insert_or_assign(change.incarnation.id, change);
     }
 }
 
@@ -73,9 +73,9 @@
     return it->second.last >= key ? &it->second : nullptr;
 }
 
-const upstream* snapshot::find(const upstream_life& life) const {
-    const auto it = upstreams.find(life.id);
-    return it != upstreams.end() && it->second.life == life ? &it->second : nullptr;
+const upstream* snapshot::find(const upstream_incarnation& incarnation) const {
+    const auto it = upstreams.find(incarnation.id);
+    return it != upstreams.end() && it->second.incarnation == incarnation ? &it->second : nullptr;
 }
 
 const upstream* snapshot::find_address(const endpoint_address& address) const {
--- a/src/key_ranges/lease_keeper.cpp
+++ b/src/key_ranges/lease_keeper.cpp
@@ -150,7 +150,7 @@
     std::vector<candidate> result;
     for (const auto& [id, it] : known.state.upstreams) {
         if (it.service == service && it.open() && !is_silent(id, known, now)) {
-            result.push_back({it.life, it.slots * known.conditions.at(id).speed});
+            result.push_back({it.incarnation, it.slots * known.conditions.at(id).speed});
         }
     }
     return result;
@@ -295,7 +295,7 @@
 
 void lease_keeper::send_grant(lease& held, const upstream& owner, const view& known, time_point now,
                               effects& out) {
-    const auto condition = known.conditions.find(owner.life.id);
+    const auto condition = known.conditions.find(owner.incarnation.id);
     const bool late = condition == known.conditions.end() ||
                       now - condition->second.last_announced > settings_.announce_timeout / 2;
     held.open_call = next_call_id_++;
--- a/src/key_ranges/planner.cpp
+++ b/src/key_ranges/planner.cpp
@@ -10,7 +10,7 @@
 
 using directory::key_range;
 using directory::range_map;
-using directory::upstream_life;
+using directory::upstream_incarnation;
 
 constexpr std::size_t key_count = directory::last_key + 1;
 // Share of the load that is spread over all keys, so that ranges without requests count by their width.
@@ -51,7 +51,7 @@
     ledger(const range_map& owned, const std::vector<candidate>& candidates, const load_table& loads) {
         accounts_.reserve(candidates.size());
         for (const auto& it : candidates) {
-            positions_.emplace(it.life, accounts_.size());
+            positions_.emplace(it.incarnation, accounts_.size());
             accounts_.push_back({it, 0, false});
         }
         for (const auto& [first, it] : owned) {
@@ -65,8 +65,8 @@
             weight_ += it.who.weight;
         }
     }
-    account* find(const upstream_life& life) {
-        const auto it = positions_.find(life);
+    account* find(const upstream_incarnation& incarnation) {
+        const auto it = positions_.find(incarnation);
         return it == positions_.end() ? nullptr : &accounts_[it->second];
     }
     account& least() {
@@ -94,7 +94,7 @@
 
 private:
     std::vector<account> accounts_;
-    std::map<upstream_life, std::size_t> positions_; ///< in accounts_
+    std::map<upstream_incarnation, std::size_t> positions_; ///< in accounts_
     double total_ = 0;
     double weight_ = 0;
 };
@@ -111,11 +111,11 @@
                                      accounts.mean() * target.who.weight / 10);
         const key_number last = loads.split(first, range.last, room);
         target.load += loads.of(first, last);
-        if (out.size() > joinable_from && out.back().target == target.who.life &&
+        if (out.size() > joinable_from && out.back().target == target.who.incarnation &&
             out.back().last + 1 == first && out.back().from == range.owner) {
             out.back().last = last;
         } else {
-            out.push_back({first, last, range.owner, target.who.life});
+            out.push_back({first, last, range.owner, target.who.incarnation});
         }
         if (last == range.last) {
             return;
@@ -167,7 +167,7 @@
 void balance_round::take(std::vector<key_range>::iterator range, key_number first, key_number last,
                          account& source, account& target, std::vector<planned_move>& out) {
     const double moved = loads_.of(first, last);
-    out.push_back({first, last, range->owner, target.who.life});
+    out.push_back({first, last, range->owner, target.who.incarnation});
     source.load -= moved;
     target.load += moved;
     const key_range rest = *range;
@@ -192,7 +192,7 @@
     key_number best_first = 0;
     double best_load = 0;
     for (auto it = movable_.begin(); it != movable_.end(); ++it) {
-        const double load = it->owner == source.who.life ? loads_.of(it->first, it->last) : 0;
+        const double load = it->owner == source.who.incarnation ? loads_.of(it->first, it->last) : 0;
         if (load <= best_load) {
             continue;
         }
@@ -222,7 +222,7 @@
     }
     const double fair = accounts_.mean() * source.who.weight;
     for (auto it = movable_.begin(); it != movable_.end(); ++it) {
-        if (it->owner != source.who.life || loads_.of(it->first, it->last) <= fair) {
+        if (it->owner != source.who.incarnation || loads_.of(it->first, it->last) <= fair) {
             continue;
         }
         for (key_number key = it->first; key <= it->last; ++key) {
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -45,7 +45,7 @@
 
 private:
     struct tracked_life {
-        directory::upstream_life life;
+        directory::upstream_incarnation incarnation;
         std::int64_t sequence = 0;
     };
 
--- a/src/router/control_node_orders.cpp
+++ b/src/router/control_node_orders.cpp
@@ -22,21 +22,21 @@
 
 bool control_node::is_stale(const announcement& report) {
     const auto& state = *machine_.state();
-    const auto& life = report.upstream.life;
-    const auto known = state.upstreams.find(life.id);
-    if (known != state.upstreams.end() && known->second.life.started_ms > life.started_ms) {
+    const auto& incarnation = report.upstream.incarnation;
+    const auto known = state.upstreams.find(incarnation.id);
+    if (known != state.upstreams.end() && known->second.incarnation.started_ms > incarnation.started_ms) {
         return true;
     }
     const auto* neighbour = state.find_address(report.upstream.address);
-    if (neighbour != nullptr && neighbour->life.id != life.id &&
-        neighbour->life.started_ms > life.started_ms) {
+    if (neighbour != nullptr && neighbour->incarnation.id != incarnation.id &&
+        neighbour->incarnation.started_ms > incarnation.started_ms) {
         return true;
     }
-    auto& tracked = lives_[life.id];
-    if (tracked.life == life && report.sequence < tracked.sequence) {
+    auto& tracked = lives_[incarnation.id];
+    if (tracked.incarnation == incarnation && report.sequence < tracked.sequence) {
         return true;
     }
-    tracked = {life, report.sequence};
+    tracked = {incarnation, report.sequence};
     return false;
 }
 
@@ -52,10 +52,10 @@
         return;
     }
     const auto& state = *machine_.state();
-    const auto known = state.upstreams.find(report.upstream.life.id);
-    conditions_[report.upstream.life.id].last_announced = steady_now();
+    const auto known = state.upstreams.find(report.upstream.incarnation.id);
+    conditions_[report.upstream.incarnation.id].last_announced = steady_now();
     directory::command change;
-    if (known != state.upstreams.end() && known->second.life == report.upstream.life) {
+    if (known != state.upstreams.end() && known->second.incarnation == report.upstream.incarnation) {
         // A late report does not take back that the upstream leaves.
         report.upstream.left = known->second.left;
         report.upstream.draining = report.upstream.draining || known->second.draining;
@@ -65,12 +65,12 @@
         }
     }
     const auto* neighbour = state.find_address(report.upstream.address);
-    if (neighbour != nullptr && neighbour->life.id != report.upstream.life.id) {
-        change.removed.push_back(neighbour->life.id);
+    if (neighbour != nullptr && neighbour->incarnation.id != report.upstream.incarnation.id) {
+        change.removed.push_back(neighbour->incarnation.id);
     }
     spdlog::info("upstream registered id={} started_ms={} service={} address={} draining={}",
-                 report.upstream.life.id, report.upstream.life.started_ms, report.upstream.service,
-                 to_string(report.upstream.address), report.upstream.draining);
+                 report.upstream.incarnation.id, report.upstream.incarnation.started_ms,
+                 report.upstream.service, to_string(report.upstream.address), report.upstream.draining);
     change.upstreams.push_back(std::move(report.upstream));
     propose(change, std::move(done));
 }
--- a/src/router/control_orders.cpp
+++ b/src/router/control_orders.cpp
@@ -40,8 +40,8 @@
 
 std::string write_announcement(const announcement& source) {
     wire::UpstreamAnnouncement out;
-    out.upstream.id = source.upstream.life.id;
-    out.upstream.started_ms = source.upstream.life.started_ms;
+    out.upstream.id = source.upstream.incarnation.id;
+    out.upstream.started_ms = source.upstream.incarnation.started_ms;
     out.upstream.service_name = source.upstream.service;
     out.upstream.data_center = source.upstream.data_center;
     out.upstream.address = to_string(source.upstream.address);
--- a/src/router/crash_watch.cpp
+++ b/src/router/crash_watch.cpp
@@ -15,12 +15,13 @@
 constexpr duration refusal_retention = std::chrono::minutes(10);
 
 bool has_successor(const directory::upstream& target, const directory::snapshot& state) {
-    const auto same_id = state.upstreams.find(target.life.id);
-    if (same_id != state.upstreams.end() && same_id->second.life.started_ms > target.life.started_ms) {
+    const auto same_id = state.upstreams.find(target.incarnation.id);
+    if (same_id != state.upstreams.end() &&
+        same_id->second.incarnation.started_ms > target.incarnation.started_ms) {
         return true;
     }
     const auto* neighbour = state.find_address(target.address);
-    return neighbour != nullptr && neighbour->life.started_ms > target.life.started_ms;
+    return neighbour != nullptr && neighbour->incarnation.started_ms > target.incarnation.started_ms;
 }
 
 } // namespace
@@ -41,7 +42,7 @@
         if (!has_successor(it.target, state)) {
             return false;
         }
-        result.push_back({it.digest, it.target.life});
+        result.push_back({it.digest, it.target.incarnation});
         return true;
     });
     return result;
--- a/src/router/crash_watch.h
+++ b/src/router/crash_watch.h
@@ -17,7 +17,7 @@
 /// A request that was at work when its upstream ended.
 struct crashed_request {
     request_digest digest = 0;
-    directory::upstream_life upstream;
+    directory::upstream_incarnation upstream;
     bool operator==(const crashed_request&) const = default;
 };
 
@@ -67,7 +67,7 @@
 
 private:
     struct record {
-        std::set<directory::upstream_life> ended;
+        std::set<directory::upstream_incarnation> ended;
         time_point last_crash;
     };
     void make_room();
--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -157,7 +157,7 @@
     const time_point now = steady_now();
     // Waiting beyond the target latency serves nobody in time: those behind would be late as well.
     const time_point limit = std::min(it->deadline, std::max(it->arrived + it->route.target_latency, now));
-    it->upstream = target.target().life.id;
+    it->upstream = target.target().incarnation.id;
     if (now + target.expected_time(it->route.priority, now) > limit) {
         end_unserved(it, status_bad_gateway, "crowded");
         return;
@@ -188,7 +188,7 @@
     if (target.waiting() == 0 || opens <= now) {
         return;
     }
-    const std::string& id = target.target().life.id;
+    const std::string& id = target.target().incarnation.id;
     auto& timer = pump_timers_.try_emplace(id, context_).first->second;
     timer.expires_after(opens - now);
     timer.async_wait([this, id](const asio::error_code& ec) {
@@ -232,7 +232,7 @@
     ++it->arrivals;
     ++it->runs_possible;
     it->sent_at = now;
-    it->upstream = target.target().life.id;
+    it->upstream = target.target().incarnation.id;
     target.on_sent(now);
     exchange request;
     request.target = target.target().address;
@@ -295,7 +295,7 @@
     report_crashes();
     std::vector<std::uint64_t> displaced;
     for (auto it = lanes_.begin(); it != lanes_.end();) {
-        const auto* known = directory_->find(it->second->target().life);
+        const auto* known = directory_->find(it->second->target().incarnation);
         if (known != nullptr && known->open()) {
             it->second->update(*known, use_of(known->service));
             ++it;
--- a/src/router/dispatcher_choice.cpp
+++ b/src/router/dispatcher_choice.cpp
@@ -89,7 +89,7 @@
     if (owner == nullptr || !owner->open()) {
         return nullptr;
     }
-    const auto found = lanes_.find(owner->life.id);
+    const auto found = lanes_.find(owner->incarnation.id);
     return found == lanes_.end() ? nullptr : found->second.get();
 }
 
--- a/src/router/dispatcher_gates.cpp
+++ b/src/router/dispatcher_gates.cpp
@@ -41,7 +41,7 @@
     out.hops = it->hops + 1;
     out.left = it->deadline - now;
     out.target_left = it->arrived + it->route.target_latency - now;
-    it->upstream = target.target().life.id;
+    it->upstream = target.target().incarnation.id;
     it->sent_at = now;
     start_timer(it, out.left + gate_answer_time);
     it->routed = gates_->pass_on(it->gate, out, [this, it](routed_result result) {
--- a/src/router/gate_links.cpp
+++ b/src/router/gate_links.cpp
@@ -63,7 +63,7 @@
     std::vector<std::pair<std::uint32_t, std::string>> scored;
     for (const auto& it : entries_) {
         if (it.data_center == target.data_center) {
-            scored.emplace_back(score(it.name, target.life.id), it.name);
+            scored.emplace_back(score(it.name, target.incarnation.id), it.name);
         }
     }
     std::sort(scored.rbegin(), scored.rend());
@@ -75,9 +75,9 @@
 }
 
 std::string gate_links::gate_of(const directory::upstream& target) {
-    auto known = ranked_.find(target.life.id);
+    auto known = ranked_.find(target.incarnation.id);
     if (known == ranked_.end()) {
-        known = ranked_.emplace(target.life.id, rank(target)).first;
+        known = ranked_.emplace(target.incarnation.id, rank(target)).first;
     }
     for (const auto& name : known->second) {
         if (name == self_.id.name) {
--- a/tests/directory/directory_test.cpp
+++ b/tests/directory/directory_test.cpp
@@ -23,7 +23,7 @@
     return {{id, started_ms}, "a", "d1", {"127.0.0.1", 8080}, 2, false, false};
 }
 
-command assign(key_number first, key_number last, const upstream_life& owner) {
+command assign(key_number first, key_number last, const upstream_incarnation& owner) {
     command result;
     result.assignments.push_back({"a", first, last, owner});
     return result;
@@ -83,7 +83,7 @@
     SUBCASE("a late report of an earlier life changes nothing") {
         command late;
         late.upstreams = {make_upstream("u1", 9)};
-        CHECK(apply(state, late, 2).upstreams.at("u1").life.started_ms == 10);
+        CHECK(apply(state, late, 2).upstreams.at("u1").incarnation.started_ms == 10);
     }
 
     SUBCASE("a part of a range moves with a higher epoch") {
--- a/tests/key_ranges/lease_keeper_test.cpp
+++ b/tests/key_ranges/lease_keeper_test.cpp
@@ -28,9 +28,10 @@
         state.config = config;
         directory::command change;
         for (int i = 0; i < upstreams; ++i) {
-            const directory::upstream_life life{std::string("u").append(std::to_string(i)), 1};
-            change.upstreams.push_back({life, "s", "d", {"127.0.0.1", static_cast<std::uint16_t>(1 + i)}, 2});
-            change.assignments.push_back({"s", first_key(i), first_key(i + 1) - 1, life});
+            const directory::upstream_incarnation incarnation{std::string("u").append(std::to_string(i)), 1};
+            change.upstreams.push_back(
+                {incarnation, "s", "d", {"127.0.0.1", static_cast<std::uint16_t>(1 + i)}, 2});
+            change.assignments.push_back({"s", first_key(i), first_key(i + 1) - 1, incarnation});
         }
         apply(change);
     }
@@ -146,7 +147,7 @@
     leader.run(std::chrono::seconds(1)); // the first command numbers all epochs anew
     const directory::upstream leaving = leader.state.upstreams.at("u0");
     directory::command split;
-    split.assignments.push_back({"s", 1001, 2000, leaving.life});
+    split.assignments.push_back({"s", 1001, 2000, leaving.incarnation});
     leader.apply(split);
     leader.run(std::chrono::seconds(12)); // until the former leader's leases have ended
     const directory::snapshot before = leader.state;
@@ -163,8 +164,8 @@
         CHECK(it.last <= held->last);
         CHECK(it.epoch == held->epoch);
     }
-    CHECK(leader.state.owner_of("s", 0)->owner != leaving.life);
-    CHECK(leader.state.owner_of("s", 1001)->owner != leaving.life);
+    CHECK(leader.state.owner_of("s", 0)->owner != leaving.incarnation);
+    CHECK(leader.state.owner_of("s", 1001)->owner != leaving.incarnation);
 }
 
 TEST_CASE("once faults have ended every key has an owner again") {
--- a/tests/key_ranges/lease_model.h
+++ b/tests/key_ranges/lease_model.h
@@ -12,7 +12,7 @@
 
 namespace kingcupseam::key_ranges::test {
 
-using directory::upstream_life;
+using directory::upstream_incarnation;
 
 /// Upstreams, leaders and a network with faults, in virtual time. Grants may be lost, applied late without an
 /// answer, or reach an upstream after its leader was replaced.
@@ -77,7 +77,7 @@
         time_point until;
     };
     struct backend {
-        upstream_life life;
+        upstream_incarnation incarnation;
         bool up = true;
         bool cut = false;     ///< from the leader; callers still reach it
         bool leaving = false; ///< has announced that it drains
@@ -109,10 +109,10 @@
     void start_upstream(int i) {
         auto& it = backends_[i];
         it = {};
-        it.life = {std::string("u").append(std::to_string(i)), now_.time_since_epoch().count() / 1000};
+        it.incarnation = {std::string("u").append(std::to_string(i)), now_.time_since_epoch().count() / 1000};
         directory::command change;
         change.upstreams.push_back(
-            {it.life, "s", "d", {"127.0.0.1", static_cast<std::uint16_t>(1000 + i)}, 2});
+            {it.incarnation, "s", "d", {"127.0.0.1", static_cast<std::uint16_t>(1000 + i)}, 2});
         state_ = directory::apply(state_, change, state_.index + 1);
     }
 
@@ -122,7 +122,7 @@
         it.leaving = true;
         it.ends_at = now_ + between(2000, 8000);
         directory::command change;
-        change.upstreams.push_back(state_.upstreams.at(it.life.id));
+        change.upstreams.push_back(state_.upstreams.at(it.incarnation.id));
         change.upstreams.back().draining = true;
         state_ = directory::apply(state_, change, state_.index + 1);
     }
@@ -177,7 +177,7 @@
     void announce() {
         for (const auto& it : backends_) {
             if (it.up && !it.cut) {
-                conditions_[it.life.id].last_announced = now_;
+                conditions_[it.incarnation.id].last_announced = now_;
             }
         }
     }
@@ -253,7 +253,7 @@
 
     bool act(const delivery& it) {
         auto& target = backends_[it.target];
-        if (!target.up || target.life != it.order.target) {
+        if (!target.up || target.incarnation != it.order.target) {
             return false;
         }
         const call& order = it.order;
--- a/tests/key_ranges/planner_test.cpp
+++ b/tests/key_ranges/planner_test.cpp
@@ -11,7 +11,7 @@
 using directory::key_range;
 using directory::range_map;
 
-directory::upstream_life life(int n) {
+directory::upstream_incarnation incarnation(int n) {
     return {std::string("u").append(std::to_string(n)), 1};
 }
 
@@ -27,10 +27,10 @@
         for (int i = 0; i < n; ++i) {
             const key_number first = width * i;
             const key_number last = i + 1 == n ? directory::last_key : first + width - 1;
-            const key_range range{first, last, life(i), 1};
+            const key_range range{first, last, incarnation(i), 1};
             owned.emplace(first, range);
             movable.push_back(range);
-            candidates.push_back({life(i), 2.0});
+            candidates.push_back({incarnation(i), 2.0});
             for (key_number key = first; key < last; key += width / 10) {
                 load.add(key, 1);
             }
@@ -39,7 +39,7 @@
     std::vector<planned_move> plan() { return plan_moves(owned, movable, candidates, load, {}); }
 };
 
-double moved_away(const std::vector<planned_move>& moves, const directory::upstream_life& from) {
+double moved_away(const std::vector<planned_move>& moves, const directory::upstream_incarnation& from) {
     double keys = 0;
     for (const auto& it : moves) {
         keys += it.from == from ? it.last - it.first + 1.0 : 0;
@@ -62,7 +62,8 @@
         }
         const auto moves = keys.plan();
         REQUIRE_FALSE(moves.empty());
-        CHECK(std::all_of(moves.begin(), moves.end(), [](const auto& it) { return it.from == life(0); }));
+        CHECK(std::all_of(moves.begin(), moves.end(),
+                          [](const auto& it) { return it.from == incarnation(0); }));
         CHECK(std::any_of(moves.begin(), moves.end(),
                           [](const auto& it) { return it.first <= 140 && it.last >= 100; }));
     }
@@ -73,7 +74,7 @@
         const key_number hot = keys.movable.front().first;
         keys.load.add(hot, 200);
         const auto moves = keys.plan();
-        CHECK(moved_away(moves, life(0)) > 2000);
+        CHECK(moved_away(moves, incarnation(0)) > 2000);
         CHECK(std::none_of(moves.begin(), moves.end(), [&](const auto& it) { return it.first <= hot; }));
     }
 
@@ -82,7 +83,7 @@
         keys.candidates[7].weight = 6;
         const auto moves = keys.plan();
         CHECK(std::any_of(moves.begin(), moves.end(),
-                          [](const auto& it) { return it.first == 0 && it.target == life(7); }));
+                          [](const auto& it) { return it.first == 0 && it.target == incarnation(7); }));
     }
 
     // Guards against a hot key that waits until its owner has given all neighbours away: on a day with hot
@@ -92,13 +93,13 @@
         keys.candidates[7].weight = 6;
         const auto moves = keys.plan();
         REQUIRE_FALSE(moves.empty());
-        CHECK(moves.front() == planned_move{3000, 3000, life(0), life(7)});
+        CHECK(moves.front() == planned_move{3000, 3000, incarnation(0), incarnation(7)});
     }
 
     SUBCASE("an owner that may not get work is emptied at once") {
         keys.candidates.erase(keys.candidates.begin());
         const auto moves = keys.plan();
-        CHECK(moved_away(moves, life(0)) == doctest::Approx(6553));
+        CHECK(moved_away(moves, incarnation(0)) == doctest::Approx(6553));
     }
 }
 
@@ -110,7 +111,7 @@
     REQUIRE_FALSE(moves.empty());
     CHECK(moves.front().first == first.first);
     CHECK(moves.back().last == first.last);
-    CHECK(moves.front().target == life(0));
+    CHECK(moves.front().target == incarnation(0));
     CHECK(plan_vacant({first}, keys.owned, {}, keys.load).empty());
 }
 
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -104,7 +104,7 @@
 
 TEST_CASE("an odd liveness report names no upstream") {
     const auto read = parse_announcement("i-1", report);
-    CHECK(read.upstream.life == directory::upstream_life{"i-1", 1700000000000});
+    CHECK(read.upstream.incarnation == directory::upstream_incarnation{"i-1", 1700000000000});
     CHECK(read.upstream.slots == 6);
     CHECK(read.sequence == 4);
     CHECK(parse_announcement("i-1", replaced(report, "\"ready\"", "\"draining\"")).upstream.draining);
--- a/tests/platform/crashing_request_test.cpp
+++ b/tests/platform/crashing_request_test.cpp
@@ -20,7 +20,7 @@
         it.configure(false, 4, harness::first_port, 2);
         const auto report = it.under_test.take_report();
         REQUIRE(report.crashed.size() == 1);
-        CHECK(report.crashed.front().upstream == directory::upstream_life{"u", 1});
+        CHECK(report.crashed.front().upstream == directory::upstream_incarnation{"u", 1});
         const auto digest = report.crashed.front().digest;
 
         SUBCASE("and its next answer is reported while the leader watches it") {
--- a/tests/router/crash_watch_test.cpp
+++ b/tests/router/crash_watch_test.cpp
@@ -26,7 +26,8 @@
 
     SUBCASE("under its id") {
         state.upstreams["u"] = upstream_of("u", 2000, 80);
-        CHECK(broken.take_crashed(state, start) == std::vector<crashed_request>{{poison, target.life}});
+        CHECK(broken.take_crashed(state, start) ==
+              std::vector<crashed_request>{{poison, target.incarnation}});
         CHECK(broken.take_crashed(state, start).empty());
     }
     SUBCASE("at its address") {
