--- a/include/kingcupseam/directory.h
+++ b/include/kingcupseam/directory.h
@@ -129,11 +129,12 @@
 
 /// One entry of the log. Its parts are applied in this order.
 struct command {
-    std::optional<configuration> config; ///< changes nothing unless its version is higher
-    std::vector<upstream> upstreams;     ///< changes nothing for an earlier life of the same id
-    std::vector<std::string> removed;    ///< ids
+    std::optional<configuration> config;        ///< changes nothing unless its version is higher
+    std::vector<upstream> upstreams;            ///< changes nothing for an earlier life of the same id
+    std::vector<std::string> removed_upstreams; ///< ids
     std::vector<assignment> assignments;
-    bool renumber = false; ///< gives every range the epoch of this command and joins neighbours of one owner
+    bool renumber_epochs =
+        false; ///< gives every range the epoch of this command and joins neighbours of one owner
     bool empty() const;
 };
 
--- a/src/directory/codec.cpp
+++ b/src/directory/codec.cpp
@@ -254,11 +254,11 @@
     for (const auto& it : source.upstreams) {
         out.upstreams.push_back(to_wire(it));
     }
-    out.removed_upstreams = source.removed;
+    out.removed_upstreams = source.removed_upstreams;
     for (const auto& it : source.assignments) {
         out.assignments.push_back(to_wire(it));
     }
-    out.renumber_epochs = source.renumber;
+    out.renumber_epochs = source.renumber_epochs;
     return wire::to_bytes(out);
 }
 
@@ -271,14 +271,14 @@
     for (const auto& it : in.upstreams) {
         result.upstreams.push_back(from_wire(it));
     }
-    result.removed = in.removed_upstreams;
+    result.removed_upstreams = in.removed_upstreams;
     for (const auto& it : in.assignments) {
         result.assignments.push_back({it.service_name,
                                       parse_key(it.first),
                                       parse_key(it.last),
                                       {it.upstream, it.upstream_started_ms}});
     }
-    result.renumber = in.renumber_epochs;
+    result.renumber_epochs = in.renumber_epochs;
     return result;
 }
 
--- a/src/directory/snapshot.cpp
+++ b/src/directory/snapshot.cpp
@@ -85,7 +85,8 @@
 }
 
 bool command::empty() const {
-    return !config && upstreams.empty() && removed.empty() && assignments.empty() && !renumber;
+    return !config && upstreams.empty() && removed_upstreams.empty() && assignments.empty() &&
+           !renumber_epochs;
 }
 
 snapshot apply(const snapshot& before, const command& change, std::uint64_t index) {
@@ -97,13 +98,13 @@
     for (const auto& it : change.upstreams) {
         put_upstream(result.upstreams, it);
     }
-    for (const auto& it : change.removed) {
+    for (const auto& it : change.removed_upstreams) {
         result.upstreams.erase(it);
     }
     for (const auto& it : change.assignments) {
         assign(result.ranges[it.service], it, index);
     }
-    if (change.renumber) {
+    if (change.renumber_epochs) {
         for (auto& [service, ranges] : result.ranges) {
             renumber(ranges, index);
         }
--- a/src/key_ranges/lease_keeper.cpp
+++ b/src/key_ranges/lease_keeper.cpp
@@ -61,7 +61,7 @@
     if (!renumbered_) {
         // Upstreams that answer the new epochs refuse what a former leader sent before.
         if (!renumber_proposed_) {
-            out.command.renumber = true;
+            out.command.renumber_epochs = true;
             renumber_proposed_ = true;
             command_open_ = true;
         }
--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -268,7 +268,7 @@
     for (const auto& [id, it] : machine_.state()->upstreams) {
         const auto known = conditions_.find(id);
         if (known != conditions_.end() && now - known->second.last_announced > silent_before_removal) {
-            change.removed.push_back(id);
+            change.removed_upstreams.push_back(id);
             conditions_.erase(known);
         }
     }
--- a/src/router/control_node_orders.cpp
+++ b/src/router/control_node_orders.cpp
@@ -66,7 +66,7 @@
     }
     const auto* neighbour = state.find_address(report.upstream.address);
     if (neighbour != nullptr && neighbour->incarnation.id != report.upstream.incarnation.id) {
-        change.removed.push_back(neighbour->incarnation.id);
+        change.removed_upstreams.push_back(neighbour->incarnation.id);
     }
     spdlog::info("upstream registered id={} started_ms={} service={} address={} draining={}",
                  report.upstream.incarnation.id, report.upstream.incarnation.started_ms,
--- a/tests/directory/directory_test.cpp
+++ b/tests/directory/directory_test.cpp
@@ -100,7 +100,7 @@
         SUBCASE("and renumbering joins neighbours of one owner") {
             state = apply(state, assign(100, 199, {"u1", 10}), 4);
             command renumber;
-            renumber.renumber = true;
+            renumber.renumber_epochs = true;
             state = apply(state, renumber, 5);
             CHECK(state.ranges.at("a").size() == 1);
             CHECK(state.owner_of("a", 150)->epoch == 5);
@@ -127,7 +127,7 @@
         reconfigure.config = two_routes();
         reconfigure.config->version = 8;
         reconfigure.config->routes.erase("short");
-        reconfigure.removed = {"u2"};
+        reconfigure.removed_upstreams = {"u2"};
         const snapshot next = apply(state, reconfigure, state.index + 1);
         entry = held(state, next, entry);
         CHECK(entry.config->routes == next.config->routes);
