--- a/include/kingcupseam/directory.h
+++ b/include/kingcupseam/directory.h
@@ -90,7 +90,7 @@
     bool draining = false;
     bool left = false; ///< said that it ends; it may serve for some seconds more
     /// True when it may get new work.
-    bool open() const noexcept { return !draining && !left; }
+    bool accepts_work() const noexcept { return !draining && !left; }
     bool operator==(const upstream&) const = default;
 };
 
@@ -114,7 +114,7 @@
 
     const key_range* owner_of(const std::string& service, key_number key) const;
     const upstream* find(const upstream_incarnation& incarnation) const;
-    const upstream* find_address(const endpoint_address& address) const;
+    const upstream* find_by_address(const endpoint_address& address) const;
 };
 
 using snapshot_ptr = std::shared_ptr<const snapshot>;
--- a/src/directory/snapshot.cpp
+++ b/src/directory/snapshot.cpp
@@ -78,7 +78,7 @@
     return it != upstreams.end() && it->second.incarnation == incarnation ? &it->second : nullptr;
 }
 
-const upstream* snapshot::find_address(const endpoint_address& address) const {
+const upstream* snapshot::find_by_address(const endpoint_address& address) const {
     const auto it = std::find_if(upstreams.begin(), upstreams.end(),
                                  [&](const auto& entry) { return entry.second.address == address; });
     return it == upstreams.end() ? nullptr : &it->second;
--- a/src/key_ranges/lease_keeper.cpp
+++ b/src/key_ranges/lease_keeper.cpp
@@ -149,7 +149,7 @@
                                                 time_point now) const {
     std::vector<candidate> result;
     for (const auto& [id, it] : known.state.upstreams) {
-        if (it.service == service && it.open() && !is_silent(id, known, now)) {
+        if (it.service == service && it.accepts_work() && !is_silent(id, known, now)) {
             result.push_back({it.incarnation, it.slots * known.conditions.at(id).speed});
         }
     }
@@ -219,8 +219,8 @@
     for (auto& [first, it] : leases_[service]) {
         const upstream* owner = known.state.find(it.range.owner);
         // Once the owner has answered a higher epoch, earlier grants without an answer cannot take effect.
-        if (owner != nullptr && !owner->open() && it.open_call == 0 && it.confirmed && !it.clean(now) &&
-            it.parts.empty() && !it.reassigning) {
+        if (owner != nullptr && !owner->accepts_work() && it.open_call == 0 && it.confirmed &&
+            !it.clean(now) && it.parts.empty() && !it.reassigning) {
             out.command.assignments.push_back({service, it.range.first, it.range.last, it.range.owner});
             it.reassigning = true;
         }
--- a/src/router/control_node_orders.cpp
+++ b/src/router/control_node_orders.cpp
@@ -27,7 +27,7 @@
     if (known != state.upstreams.end() && known->second.incarnation.started_ms > incarnation.started_ms) {
         return true;
     }
-    const auto* neighbour = state.find_address(report.upstream.address);
+    const auto* neighbour = state.find_by_address(report.upstream.address);
     if (neighbour != nullptr && neighbour->incarnation.id != incarnation.id &&
         neighbour->incarnation.started_ms > incarnation.started_ms) {
         return true;
@@ -64,7 +64,7 @@
             return;
         }
     }
-    const auto* neighbour = state.find_address(report.upstream.address);
+    const auto* neighbour = state.find_by_address(report.upstream.address);
     if (neighbour != nullptr && neighbour->incarnation.id != report.upstream.incarnation.id) {
         change.removed_upstreams.push_back(neighbour->incarnation.id);
     }
--- a/src/router/crash_watch.cpp
+++ b/src/router/crash_watch.cpp
@@ -20,7 +20,7 @@
         same_id->second.incarnation.started_ms > target.incarnation.started_ms) {
         return true;
     }
-    const auto* neighbour = state.find_address(target.address);
+    const auto* neighbour = state.find_by_address(target.address);
     return neighbour != nullptr && neighbour->incarnation.started_ms > target.incarnation.started_ms;
 }
 
--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -296,7 +296,7 @@
     std::vector<std::uint64_t> displaced;
     for (auto it = lanes_.begin(); it != lanes_.end();) {
         const auto* known = directory_->find(it->second->target().incarnation);
-        if (known != nullptr && known->open()) {
+        if (known != nullptr && known->accepts_work()) {
             it->second->update(*known, use_of(known->service));
             ++it;
             continue;
@@ -309,7 +309,7 @@
         it = lanes_.erase(it);
     }
     for (const auto& [id, it] : directory_->upstreams) {
-        if (it.open() && !lanes_.contains(id)) {
+        if (it.accepts_work() && !lanes_.contains(id)) {
             lanes_.emplace(id, std::make_unique<lane>(it, use_of(it.service)));
         }
     }
--- a/src/router/dispatcher_choice.cpp
+++ b/src/router/dispatcher_choice.cpp
@@ -57,7 +57,7 @@
     choice local;
     choice remote;
     for (const auto& [id, candidate] : lanes_) {
-        if (candidate->target().service != it->service || !candidate->target().open()) {
+        if (candidate->target().service != it->service || !candidate->target().accepts_work()) {
             continue;
         }
         double cost = candidate->cost(now);
@@ -86,7 +86,7 @@
         return nullptr;
     }
     const auto* owner = directory_->find(range->owner);
-    if (owner == nullptr || !owner->open()) {
+    if (owner == nullptr || !owner->accepts_work()) {
         return nullptr;
     }
     const auto found = lanes_.find(owner->incarnation.id);
