--- a/include/kingcupseam/key_ranges.h
+++ b/include/kingcupseam/key_ranges.h
@@ -75,7 +75,7 @@
                                      const std::vector<candidate>& candidates, const demand& load,
                                      const planner_options& settings);
 
-struct keeper_options {
+struct lease_manager_options {
     duration hold =
         std::chrono::seconds(9); ///< lease time of a grant, counted by the upstream from its arrival
     double clock_error = 0.025;  ///< by which an upstream's clock may be slow; 2% are announced
@@ -91,7 +91,7 @@
 
 enum class call_kind : std::uint8_t { grant, release };
 
-/// An order to an upstream. Every call is settled by lease_keeper::on_result.
+/// An order to an upstream. Every call is settled by lease_manager::on_result.
 struct call {
     std::uint64_t id = 0;
     call_kind kind = call_kind::grant;
@@ -115,9 +115,9 @@
 /// Grants and moves key ranges while this instance leads. A new leadership needs a new keeper. Has no clock
 /// or socket. Keeps the invariant that a range is assigned to another upstream only when the former owner
 /// cannot hold it any more.
-class lease_keeper {
+class lease_manager {
 public:
-    lease_keeper(keeper_options settings, time_point elected);
+    lease_manager(lease_manager_options settings, time_point elected);
 
     struct view {
         const directory::snapshot& state;
@@ -192,7 +192,7 @@
     lease* find(const std::string& service, key_number key);
     std::vector<candidate> candidates(const std::string& service, const view& known, time_point now) const;
 
-    keeper_options settings_;
+    lease_manager_options settings_;
     time_point elected_;
     std::uint64_t synchronized_index_ = 0;
     bool renumbered_ = false;
--- a/src/key_ranges/lease_keeper.cpp
+++ b/src/key_ranges/lease_manager.cpp
@@ -40,23 +40,23 @@
 
 } // namespace
 
-time_point lease_keeper::lease::may_hold_until() const {
+time_point lease_manager::lease::may_hold_until() const {
     return std::max({answered_until, doubtful_until, prior_until});
 }
 
-bool lease_keeper::lease::clean(time_point now) const {
+bool lease_manager::lease::clean(time_point now) const {
     return confirmed && doubtful_until <= now && prior_until <= now;
 }
 
-lease_keeper::lease_keeper(keeper_options settings, time_point elected)
+lease_manager::lease_manager(lease_manager_options settings, time_point elected)
     : settings_(settings), elected_(elected) {}
 
-duration lease_keeper::bound() const {
+duration lease_manager::bound() const {
     return std::chrono::duration_cast<duration>(settings_.hold * (1 + settings_.clock_error)) +
            settings_.margin;
 }
 
-lease_keeper::effects lease_keeper::tick(const view& known, time_point now) {
+lease_manager::effects lease_manager::tick(const view& known, time_point now) {
     effects out;
     if (!renumbered_) {
         // Upstreams that answer the new epochs refuse what a former leader sent before.
@@ -89,7 +89,7 @@
     return out;
 }
 
-void lease_keeper::synchronize(const snapshot& state) {
+void lease_manager::synchronize(const snapshot& state) {
     if (state.index == synchronized_index_) {
         return;
     }
@@ -103,7 +103,7 @@
     synchronized_index_ = state.index;
 }
 
-lease_keeper::lease lease_keeper::inherited(const std::string& service, const key_range& range) {
+lease_manager::lease lease_manager::inherited(const std::string& service, const key_range& range) {
     lease result;
     result.range = range;
     if (synchronized_index_ == 0) {
@@ -135,7 +135,7 @@
     return result;
 }
 
-lease_keeper::lease* lease_keeper::find(const std::string& service, key_number key) {
+lease_manager::lease* lease_manager::find(const std::string& service, key_number key) {
     auto& leases = leases_[service];
     auto it = leases.upper_bound(key);
     if (it == leases.begin()) {
@@ -145,8 +145,8 @@
     return it->second.range.last >= key ? &it->second : nullptr;
 }
 
-std::vector<candidate> lease_keeper::candidates(const std::string& service, const view& known,
-                                                time_point now) const {
+std::vector<candidate> lease_manager::candidates(const std::string& service, const view& known,
+                                                 time_point now) const {
     std::vector<candidate> result;
     for (const auto& [id, it] : known.state.upstreams) {
         if (it.service == service && it.accepts_work() && !is_silent(id, known, now)) {
@@ -156,19 +156,19 @@
     return result;
 }
 
-bool lease_keeper::is_silent(const std::string& id, const view& known, time_point now) const {
+bool lease_manager::is_silent(const std::string& id, const view& known, time_point now) const {
     const auto it = known.conditions.find(id);
     return it == known.conditions.end() || now - it->second.last_announced > settings_.announce_timeout;
 }
 
-bool lease_keeper::is_lost(const lease& held, const view& known, time_point now) const {
+bool lease_manager::is_lost(const lease& held, const view& known, time_point now) const {
     return held.open_call == 0 && now >= held.may_hold_until() &&
            (known.state.find(held.range.owner) == nullptr || is_silent(held.range.owner.id, known, now) ||
             held.failed_calls >= settings_.failed_calls_before_lost);
 }
 
-void lease_keeper::assign_vacant(const std::string& service, const view& known, time_point now,
-                                 effects& out) {
+void lease_manager::assign_vacant(const std::string& service, const view& known, time_point now,
+                                  effects& out) {
     const auto seen = first_seen_.find(service);
     if (seen == first_seen_.end() || now - seen->second < settings_.settle_time) {
         return;
@@ -201,7 +201,7 @@
     }
 }
 
-void lease_keeper::finish_moves(const std::string& service, effects& out) {
+void lease_manager::finish_moves(const std::string& service, effects& out) {
     for (auto& [first, it] : leases_[service]) {
         if (it.reassigning) {
             continue;
@@ -215,7 +215,7 @@
     }
 }
 
-void lease_keeper::renew_epoch(const std::string& service, const view& known, time_point now, effects& out) {
+void lease_manager::renew_epoch(const std::string& service, const view& known, time_point now, effects& out) {
     for (auto& [first, it] : leases_[service]) {
         const upstream* owner = known.state.find(it.range.owner);
         // Once the owner has answered a higher epoch, earlier grants without an answer cannot take effect.
@@ -228,7 +228,7 @@
 }
 
 /// Adds a range as it will be owned once its parts have moved.
-void lease_keeper::add_planned(const lease& held, range_map& out) {
+void lease_manager::add_planned(const lease& held, range_map& out) {
     key_number next = held.range.first;
     std::vector<move_part> parts = held.parts;
     std::sort(parts.begin(), parts.end(),
@@ -245,7 +245,7 @@
     }
 }
 
-void lease_keeper::start_moves(const std::string& service, const view& known, time_point now, effects& out) {
+void lease_manager::start_moves(const std::string& service, const view& known, time_point now, effects& out) {
     auto& leases = leases_[service];
     if (now < next_plan_[service] || !out.command.empty()) {
         return;
@@ -273,7 +273,7 @@
     }
 }
 
-void lease_keeper::release_parts(lease& held, const upstream& owner, time_point now, effects& out) {
+void lease_manager::release_parts(lease& held, const upstream& owner, time_point now, effects& out) {
     for (auto& part : held.parts) {
         if (part.released || part.open_call != 0 || now < part.next_call) {
             continue;
@@ -293,8 +293,8 @@
     }
 }
 
-void lease_keeper::send_grant(lease& held, const upstream& owner, const view& known, time_point now,
-                              effects& out) {
+void lease_manager::send_grant(lease& held, const upstream& owner, const view& known, time_point now,
+                               effects& out) {
     const auto condition = known.conditions.find(owner.incarnation.id);
     const bool late = condition == known.conditions.end() ||
                       now - condition->second.last_announced > settings_.announce_timeout / 2;
@@ -304,7 +304,7 @@
                          held.range.last, held.range.epoch, settings_.hold, held.handover, late});
 }
 
-void lease_keeper::renew(const std::string& service, const view& known, time_point now, effects& out) {
+void lease_manager::renew(const std::string& service, const view& known, time_point now, effects& out) {
     for (auto& [first, it] : leases_[service]) {
         const upstream* owner = known.state.find(it.range.owner);
         if (owner == nullptr || it.reassigning) {
@@ -318,8 +318,8 @@
     }
 }
 
-void lease_keeper::on_result(std::uint64_t call_id, call_result result, const std::string& handover,
-                             time_point now) {
+void lease_manager::on_result(std::uint64_t call_id, call_result result, const std::string& handover,
+                              time_point now) {
     const auto known = calls_.find(call_id);
     if (known == calls_.end()) {
         return;
@@ -345,8 +345,8 @@
     }
 }
 
-void lease_keeper::on_release_result(lease& held, move_part& part, call_result result,
-                                     const std::string& handover, time_point now) const {
+void lease_manager::on_release_result(lease& held, move_part& part, call_result result,
+                                      const std::string& handover, time_point now) const {
     part.open_call = 0;
     part.next_call = now + settings_.retry_delay;
     part.asked = part.asked || result != call_result::not_sent;
@@ -355,7 +355,7 @@
     held.unreachable = result == call_result::not_sent;
 }
 
-void lease_keeper::on_grant_result(lease& held, call_result result, time_point now) const {
+void lease_manager::on_grant_result(lease& held, call_result result, time_point now) const {
     held.open_call = 0;
     held.next_call = now + settings_.retry_delay;
     held.unreachable = result == call_result::not_sent;
@@ -374,7 +374,7 @@
     }
 }
 
-void lease_keeper::on_command(bool committed) {
+void lease_manager::on_command(bool committed) {
     command_open_ = false;
     if (!renumbered_) {
         renumbered_ = committed;
@@ -382,7 +382,7 @@
     }
 }
 
-time_point lease_keeper::may_hold_until(const std::string& service, key_number key) const {
+time_point lease_manager::may_hold_until(const std::string& service, key_number key) const {
     const auto map = leases_.find(service);
     if (map == leases_.end() || map->second.empty()) {
         return {};
--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -187,12 +187,12 @@
     if (leading && !resumes) {
         ++keeper_number_;
         keeper_term_ = term;
-        key_ranges::keeper_options options;
+        key_ranges::lease_manager_options options;
         // The clock error of an upstream is part of the longest hold that is allowed.
         options.hold = std::min(settings_.max_hold, duration(std::chrono::seconds(9)));
         options.announce_timeout = settings_.announce_interval * 3;
         // Orders of a former leader that has ended may still be on their way.
-        keeper_ = std::make_unique<key_ranges::lease_keeper>(options, now + election_timeout);
+        keeper_ = std::make_unique<key_ranges::lease_manager>(options, now + election_timeout);
         conditions_.clear();
         lives_.clear();
         loads_.clear();
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -86,7 +86,7 @@
     std::set<std::string> dialled_;
     std::map<consensus::member_id, time_point> spares_; ///< control instances that may become voters
     std::map<std::string, std::weak_ptr<transport::connection>> entries_; ///< that take requests, by name
-    std::unique_ptr<key_ranges::lease_keeper> keeper_;
+    std::unique_ptr<key_ranges::lease_manager> keeper_;
     std::uint64_t keeper_term_ = 0;   ///< term in which the keeper was made
     std::uint64_t keeper_number_ = 0; ///< results for an earlier keeper are dropped
     std::map<std::string, key_ranges::upstream_condition> conditions_;
--- a/tests/key_ranges/lease_keeper_test.cpp
+++ b/tests/key_ranges/lease_manager_test.cpp
@@ -10,7 +10,7 @@
 // A hold, the longest outage of the model, and the time to assign and grant.
 constexpr duration calm_time = std::chrono::seconds(25);
 
-int double_owners(std::uint64_t seeds, const keeper_options& settings) {
+int double_owners(std::uint64_t seeds, const lease_manager_options& settings) {
     int result = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         result += lease_model(seed, settings).run(fault_time) > 0 ? 1 : 0;
@@ -76,7 +76,7 @@
     directory::snapshot state;
     std::map<std::string, upstream_condition> conditions;
     std::map<std::string, demand> loads;
-    lease_keeper keeper;
+    lease_manager keeper;
 };
 
 } // namespace
@@ -125,7 +125,7 @@
 
 TEST_CASE("a key never has two owners while leaders, upstreams and the network fail") {
     constexpr std::uint64_t seeds = 150;
-    keeper_options settings;
+    lease_manager_options settings;
 
     SUBCASE("with the lease time counted in full") {
         CHECK(double_owners(seeds, settings) == 0);
--- a/tests/key_ranges/lease_model.h
+++ b/tests/key_ranges/lease_model.h
@@ -18,7 +18,7 @@
 /// answer, or reach an upstream after its leader was replaced.
 class lease_model {
 public:
-    lease_model(std::uint64_t seed, keeper_options settings) : random_(seed), settings_(settings) {
+    lease_model(std::uint64_t seed, lease_manager_options settings) : random_(seed), settings_(settings) {
         auto config = std::make_shared<directory::configuration>();
         config->version = 1;
         config->services["s"] = {"s", "/", 100, true, {}};
@@ -129,7 +129,7 @@
 
     void elect() {
         ++keeper_number_;
-        keeper_ = std::make_unique<lease_keeper>(settings_, now_);
+        keeper_ = std::make_unique<lease_manager>(settings_, now_);
         conditions_.clear();
         commands_.clear();
     }
@@ -313,13 +313,13 @@
     }
 
     std::mt19937_64 random_;
-    keeper_options settings_;
+    lease_manager_options settings_;
     bool faults_ = true;
     time_point paused_until_;
     time_point now_{std::chrono::seconds(100)};
     directory::snapshot state_;
     std::array<backend, upstream_count> backends_;
-    std::unique_ptr<lease_keeper> keeper_;
+    std::unique_ptr<lease_manager> keeper_;
     std::uint64_t keeper_number_ = 0;
     std::map<std::string, upstream_condition> conditions_;
     std::map<std::string, demand> loads_;
