--- a/include/kingcupseam/key_ranges.h
+++ b/include/kingcupseam/key_ranges.h
@@ -76,7 +76,7 @@
                                      const planner_options& settings);
 
 struct lease_manager_options {
-    duration hold =
+    duration lease_time =
         std::chrono::seconds(9); ///< lease time of a grant, counted by the upstream from its arrival
     double clock_error = 0.025;  ///< by which an upstream's clock may be slow; 2% are announced
     duration margin = std::chrono::milliseconds(150); ///< scheduling of this process and of the upstream
@@ -100,7 +100,7 @@
     key_number first = 0;
     key_number last = 0;
     std::uint64_t epoch = 0;
-    duration hold{};
+    duration lease_time{};
     std::string handover;
     bool new_connection = false; ///< a kept connection may be dead: what is sent on it stays in doubt
 };
--- a/src/key_ranges/lease_manager.cpp
+++ b/src/key_ranges/lease_manager.cpp
@@ -52,7 +52,7 @@
     : settings_(settings), elected_(elected) {}
 
 duration lease_manager::bound() const {
-    return std::chrono::duration_cast<duration>(settings_.hold * (1 + settings_.clock_error)) +
+    return std::chrono::duration_cast<duration>(settings_.lease_time * (1 + settings_.clock_error)) +
            settings_.margin;
 }
 
@@ -301,7 +301,7 @@
     held.open_call = next_call_id_++;
     calls_[held.open_call] = {owner.service, held.range.first};
     out.calls.push_back({held.open_call, call_kind::grant, held.range.owner, owner.address, held.range.first,
-                         held.range.last, held.range.epoch, settings_.hold, held.handover, late});
+                         held.range.last, held.range.epoch, settings_.lease_time, held.handover, late});
 }
 
 void lease_manager::renew(const std::string& service, const view& known, time_point now, effects& out) {
@@ -365,7 +365,7 @@
         held.confirmed = true;
         held.failed_calls = 0;
         held.handover.clear();
-        held.next_call = now + settings_.hold / renewals_per_hold;
+        held.next_call = now + settings_.lease_time / renewals_per_hold;
         return;
     }
     ++held.failed_calls;
--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -189,7 +189,7 @@
         keeper_term_ = term;
         key_ranges::lease_manager_options options;
         // The clock error of an upstream is part of the longest hold that is allowed.
-        options.hold = std::min(settings_.max_hold, duration(std::chrono::seconds(9)));
+        options.lease_time = std::min(settings_.max_hold, duration(std::chrono::seconds(9)));
         options.announce_timeout = settings_.announce_interval * 3;
         // Orders of a former leader that has ended may still be on their way.
         keeper_ = std::make_unique<key_ranges::lease_manager>(options, now + election_timeout);
--- a/tests/key_ranges/lease_model.h
+++ b/tests/key_ranges/lease_model.h
@@ -273,7 +273,7 @@
             }
             target.held.push_back(
                 {order.first, order.last, order.epoch,
-                 it.arrived + std::chrono::duration_cast<duration>(order.hold * slow_clock)});
+                 it.arrived + std::chrono::duration_cast<duration>(order.lease_time * slow_clock)});
             return true;
         }
         std::vector<held_range> kept;
