--- a/benchmark/homes_hold.cpp
+++ b/benchmark/placement_hold.cpp
@@ -5,7 +5,7 @@
 // served when the home of its shard is reachable and acts as home. Two data centres carry the load of three.
 // The global group has a majority on the larger side of a 2+1 cut and nowhere in a three-way cut. Keys that
 // moved are moved back once the data centre is reachable again.
-#include <kingcupseam/homes.h>
+#include <kingcupseam/placement.h>
 
 #include <algorithm>
 #include <cstdio>
@@ -13,7 +13,7 @@
 #include <vector>
 
 using namespace kingcupseam;
-using namespace kingcupseam::homes;
+using namespace kingcupseam::placement;
 
 namespace {
 
--- a/include/kingcupseam/homes.h
+++ b/include/kingcupseam/placement.h
@@ -10,7 +10,7 @@
 #include <variant>
 #include <vector>
 
-namespace kingcupseam::homes {
+namespace kingcupseam::placement {
 
 inline constexpr std::int16_t no_home = -1;
 
@@ -284,4 +284,4 @@
     std::optional<time_point> contact_;
 };
 
-} // namespace kingcupseam::homes
+} // namespace kingcupseam::placement
--- a/src/homes/keeper.cpp
+++ b/src/placement/keeper.cpp
@@ -1,8 +1,8 @@
-#include <kingcupseam/homes.h>
+#include <kingcupseam/placement.h>
 
 #include <algorithm>
 
-namespace kingcupseam::homes {
+namespace kingcupseam::placement {
 
 home_keeper::home_keeper(const keeper_options& options, std::uint64_t id, data_center_homes committed,
                          std::optional<time_point> last_contact)
@@ -103,4 +103,4 @@
     contact_ = std::max(contact_.value_or(contact), contact);
 }
 
-} // namespace kingcupseam::homes
+} // namespace kingcupseam::placement
--- a/src/homes/planner.cpp
+++ b/src/placement/planner.cpp
@@ -1,9 +1,9 @@
-#include <kingcupseam/homes.h>
+#include <kingcupseam/placement.h>
 
 #include <algorithm>
 #include <cmath>
 
-namespace kingcupseam::homes {
+namespace kingcupseam::placement {
 
 namespace {
 
@@ -292,4 +292,4 @@
     return change;
 }
 
-} // namespace kingcupseam::homes
+} // namespace kingcupseam::placement
--- a/src/homes/spread.cpp
+++ b/src/placement/spread.cpp
@@ -1,9 +1,9 @@
-#include <kingcupseam/homes.h>
+#include <kingcupseam/placement.h>
 
 #include <algorithm>
 #include <numeric>
 
-namespace kingcupseam::homes {
+namespace kingcupseam::placement {
 
 namespace {
 
@@ -128,4 +128,4 @@
     return result;
 }
 
-} // namespace kingcupseam::homes
+} // namespace kingcupseam::placement
--- a/src/homes/state.cpp
+++ b/src/placement/state.cpp
@@ -1,8 +1,8 @@
-#include <kingcupseam/homes.h>
+#include <kingcupseam/placement.h>
 
 #include <algorithm>
 
-namespace kingcupseam::homes {
+namespace kingcupseam::placement {
 
 namespace {
 
@@ -123,4 +123,4 @@
     return changed;
 }
 
-} // namespace kingcupseam::homes
+} // namespace kingcupseam::placement
--- a/tests/homes/keeper_test.cpp
+++ b/tests/placement/keeper_test.cpp
@@ -1,9 +1,9 @@
-#include <kingcupseam/homes.h>
+#include <kingcupseam/placement.h>
 
 #include <doctest/doctest.h>
 
 using namespace kingcupseam;
-using namespace kingcupseam::homes;
+using namespace kingcupseam::placement;
 
 namespace {
 
--- a/tests/homes/planner_test.cpp
+++ b/tests/placement/planner_test.cpp
@@ -1,11 +1,11 @@
-#include <kingcupseam/homes.h>
+#include <kingcupseam/placement.h>
 
 #include <doctest/doctest.h>
 
 #include <algorithm>
 
 using namespace kingcupseam;
-using namespace kingcupseam::homes;
+using namespace kingcupseam::placement;
 
 namespace {
 
--- a/tests/homes/scenario_test.cpp
+++ b/tests/placement/scenario_test.cpp
@@ -1,17 +1,17 @@
-#include "homes/world.h"
+#include "placement/world.h"
 #include "support/scenario.h"
 
 #include <doctest/doctest.h>
 
 using namespace kingcupseam;
-using namespace kingcupseam::homes;
-using namespace kingcupseam::homes::test;
+using namespace kingcupseam::placement;
+using namespace kingcupseam::placement::test;
 
 namespace {
 
 constexpr std::uint64_t seeds_per_scenario = 8;
 
-/// Interprets the steps of tests/scenarios/homes_*.toml.
+/// Interprets the steps of tests/scenarios/placement_*.toml.
 class player {
 public:
     player(const kingcupseam::test::scenario& script, std::uint64_t seed, faults broken)
@@ -109,7 +109,7 @@
 };
 
 kingcupseam::test::scenario load(const std::string& name) {
-    return kingcupseam::test::load_scenario(KINGCUPSEAM_SOURCE_DIR "/tests/scenarios/homes_" + name +
+    return kingcupseam::test::load_scenario(KINGCUPSEAM_SOURCE_DIR "/tests/scenarios/placement_" + name +
                                             ".toml");
 }
 
@@ -127,7 +127,7 @@
 } // namespace
 
 TEST_CASE("at most one data centre acts as the home of a shard") {
-    for (const auto& file : kingcupseam::test::scenarios_of("homes")) {
+    for (const auto& file : kingcupseam::test::scenarios_of("placement")) {
         const auto script = kingcupseam::test::load_scenario(file);
         CAPTURE(script.name);
         CAPTURE(script.guards);
--- a/tests/homes/world.cpp
+++ b/tests/placement/world.cpp
@@ -1,8 +1,8 @@
-#include "homes/world.h"
+#include "placement/world.h"
 
 #include <algorithm>
 
-namespace kingcupseam::homes::test {
+namespace kingcupseam::placement::test {
 
 namespace {
 
@@ -395,4 +395,4 @@
     return found == state_.services.end() ? 0 : static_cast<std::uint32_t>(found->second.releases.size());
 }
 
-} // namespace kingcupseam::homes::test
+} // namespace kingcupseam::placement::test
--- a/tests/homes/world.h
+++ b/tests/placement/world.h
@@ -1,13 +1,13 @@
 #pragma once
 
-#include <kingcupseam/homes.h>
+#include <kingcupseam/placement.h>
 
 #include <array>
 #include <functional>
 #include <memory>
 #include <random>
 
-namespace kingcupseam::homes::test {
+namespace kingcupseam::placement::test {
 
 /// Deliberate faults. Each must be found by the check of the world; the code under test has no such switches.
 struct faults {
@@ -145,4 +145,4 @@
     std::vector<std::string> violations_;
 };
 
-} // namespace kingcupseam::homes::test
+} // namespace kingcupseam::placement::test
