--- a/include/kingcupseam/placement.h
+++ b/include/kingcupseam/placement.h
@@ -12,7 +12,7 @@
 
 namespace kingcupseam::placement {
 
-inline constexpr std::int16_t no_home = -1;
+inline constexpr std::int16_t unplaced = -1;
 
 /// Clocks differ by at most 2,000 ppm (1/500) from true time.
 inline constexpr std::int64_t clock_drift_divisor = 500;
@@ -25,39 +25,39 @@
 
 /// A planned move that waits for the old home's consent.
 struct pending_release {
-    std::int16_t next = no_home; ///< index into service_homes::data_centers
-    std::uint64_t begun = 0;     ///< log index; a confirmation of an earlier release does not match
+    std::int16_t next = unplaced; ///< index into service_homes::data_centers
+    std::uint64_t begun = 0;      ///< log index; a confirmation of an earlier release does not match
     auto operator<=>(const pending_release&) const = default;
 };
 
 /// Homes of the shards of one service.
-struct service_homes {
+struct service_placement {
     std::vector<std::string> data_centers;
     std::vector<std::int16_t> homes; ///< index into data_centers
     std::map<std::uint32_t, pending_release> releases;
-    std::map<std::string, std::uint32_t> basis; ///< slots that the spread was made for
-    std::uint64_t version = 0;                  ///< log index of the last change
-    bool operator==(const service_homes&) const = default;
+    std::map<std::string, std::uint32_t> planned_slots; ///< slots that the spread was made for
+    std::uint64_t version = 0;                          ///< log index of the last change
+    bool operator==(const service_placement&) const = default;
 };
 
 /// What the global group has promised to a data centre.
-struct promise {
+struct hold_promise {
     std::uint64_t count = 0;               ///< committed contacts
     std::uint64_t raised = 0;              ///< log index of the last contact that made a hold longer
     std::map<std::string, duration> holds; ///< by service; the longest hold that the data centre may be using
-    bool operator==(const promise&) const = default;
+    bool operator==(const hold_promise&) const = default;
 };
 
 /// First spread (base_version 0) and moves without consent. Refused when the service has changed, or when a
 /// data centre that loses homes has been in contact since the decision.
-struct set_homes {
+struct set_placement {
     std::string service;
     std::uint64_t base_version = 0;
     std::vector<std::string> data_centers;
     std::vector<std::int16_t> homes;
-    std::map<std::string, std::uint32_t> basis;
+    std::map<std::string, std::uint32_t> planned_slots;
     std::map<std::string, std::uint64_t> contacts; ///< promise::count of the data centres that lose homes
-    bool operator==(const set_homes&) const = default;
+    bool operator==(const set_placement&) const = default;
 };
 
 /// Starts planned moves. Refused when the service has changed.
@@ -65,7 +65,7 @@
     std::string service;
     std::uint64_t base_version = 0;
     std::map<std::uint32_t, std::string> next; ///< new home by shard
-    std::map<std::string, std::uint32_t> basis;
+    std::map<std::string, std::uint32_t> planned_slots;
     bool operator==(const begin_release&) const = default;
 };
 
@@ -84,14 +84,14 @@
     bool operator==(const contact&) const = default;
 };
 
-using command = std::variant<set_homes, begin_release, confirm_release, contact>;
+using command = std::variant<set_placement, begin_release, confirm_release, contact>;
 
 /// Part of the global group's state machine; deterministic.
-struct home_state {
-    std::map<std::string, service_homes> services;
-    std::map<std::string, promise> promises; ///< by data centre
-    std::uint64_t version = 0;               ///< log index of the last change
-    bool operator==(const home_state&) const = default;
+struct placement_state {
+    std::map<std::string, service_placement> services;
+    std::map<std::string, hold_promise> promises; ///< by data centre
+    std::uint64_t version = 0;                    ///< log index of the last change
+    bool operator==(const placement_state&) const = default;
 
     /// @param index log index of the command, above all earlier ones
     /// @returns false when the command was refused and changed nothing
@@ -99,18 +99,18 @@
 };
 
 /// One service as its home data centre sees it.
-struct service_share {
+struct service_assignment {
     duration hold{};
     std::set<std::uint32_t> shards;                   ///< homes that stay
     std::map<std::uint32_t, std::uint64_t> releasing; ///< homes to give up, with pending_release::begun
-    bool operator==(const service_share&) const = default;
+    bool operator==(const service_assignment&) const = default;
 };
 
 /// Homes of one data centre; replicated in that data centre's group before they take effect.
-struct data_center_homes {
+struct data_center_assignment {
     std::uint64_t version = 0; ///< home_state::version
-    std::map<std::string, service_share> services;
-    bool operator==(const data_center_homes&) const = default;
+    std::map<std::string, service_assignment> services;
+    bool operator==(const data_center_assignment&) const = default;
 };
 
 /// From the leader of a data centre group to the leader of the global group.
@@ -127,7 +127,7 @@
 struct contact_reply {
     std::uint64_t keeper = 0;
     std::uint64_t number = 0;
-    std::optional<data_center_homes> assigned; ///< empty when the data centre has them already
+    std::optional<data_center_assignment> assigned; ///< empty when the data centre has them already
     bool operator==(const contact_reply&) const = default;
 };
 
@@ -136,20 +136,20 @@
 /// @param movable whether a shard may leave its home; shards without a home always get one
 /// @param may_gain data centres that may get shards
 /// @returns the homes; equal to @p current when no data centre with slots may gain
-std::vector<std::int16_t> spread(const std::vector<std::int16_t>& current,
-                                 const std::vector<std::uint32_t>& slots, const std::vector<bool>& movable,
-                                 const std::vector<bool>& may_gain);
+std::vector<std::int16_t> spread_shards(const std::vector<std::int16_t>& current,
+                                        const std::vector<std::uint32_t>& slots,
+                                        const std::vector<bool>& movable, const std::vector<bool>& may_gain);
 
 struct planner_options {
     /// Lets the data centres register their upstreams before the first spread.
-    duration first_spread_delay = std::chrono::milliseconds(1500);
+    duration initial_placement_delay = std::chrono::milliseconds(1500);
     /// Part of its slots that a data centre gains or loses before homes move: restarts of single upstreams
     /// stay below it.
-    double changed_part = 0.25;
+    double rebalance_threshold = 0.25;
     /// How long the change lasts before homes move; longer than a restart of a data centre's upstreams.
-    duration respread_delay = std::chrono::minutes(10);
+    duration rebalance_delay = std::chrono::minutes(10);
     /// A data centre without contact for longer takes part in no planned move.
-    duration reachable_for = std::chrono::seconds(5);
+    duration contact_timeout = std::chrono::seconds(5);
     /// After this a command that changed nothing is taken as lost.
     duration retry_after = std::chrono::seconds(5);
 };
@@ -162,7 +162,7 @@
 
 /// What the leader of the global group knows.
 struct planner_view {
-    const home_state& state; ///< applied
+    const placement_state& state; ///< applied
     std::map<std::string, service_view> services;
     time_point leadership_valid_until; ///< consensus::node::leadership_valid_until()
 };
@@ -175,10 +175,10 @@
 /// Decides the homes; runs on the leader of the global group. A new one is made at each election, once the
 /// first entry of the leader's own term has been applied: moves proposed by earlier leaders have then either
 /// been applied or are lost.
-class home_planner {
+class placement_planner {
 public:
     /// @param elected contacts with earlier leaders are not known, so every hold is counted from here
-    home_planner(const planner_options& options, time_point elected);
+    placement_planner(const planner_options& options, time_point elected);
 
     /// No reply is given after leadership_valid_until, since another leader may have begun to count the hold,
     /// and while the data centre's contact must first be committed. The data centre asks again.
@@ -188,29 +188,30 @@
 
 private:
     struct service_progress {
-        std::optional<time_point> slots_seen;
+        std::optional<time_point> slots_seen_since;
         std::optional<time_point> changed_since;
         std::uint64_t issued_for = 0; ///< service_homes::version that the last command was based on
         std::optional<time_point> issued_at;
     };
 
     bool reachable(const std::string& data_center, time_point now) const;
-    bool lapsed(const std::string& service, const std::string& data_center, const planner_view& view,
-                time_point now) const;
-    std::optional<command> first_spread(const std::string& service, const planner_view& view, time_point now);
+    bool hold_expired(const std::string& service, const std::string& data_center, const planner_view& view,
+                      time_point now) const;
+    std::optional<command> initial_placement(const std::string& service, const planner_view& view,
+                                             time_point now);
     std::optional<command> take_over(const std::string& service, const planner_view& view, time_point now);
-    std::optional<command> respread(const std::string& service, const planner_view& view, time_point now);
+    std::optional<command> rebalance(const std::string& service, const planner_view& view, time_point now);
 
     planner_options options_;
     time_point elected_;
     std::map<std::string, time_point> last_contact_;
     /// promise::count against which a move without consent was proposed. It may still commit, so the data
     /// centre is answered only after a later contact has been committed.
-    std::map<std::string, std::uint64_t> taken_over_at_;
+    std::map<std::string, std::uint64_t> takeover_contact_counts_;
     std::map<std::string, service_progress> progress_;
 };
 
-struct keeper_options {
+struct holder_options {
     std::string data_center;
     duration contact_interval = std::chrono::milliseconds(500);
 };
@@ -220,29 +221,29 @@
 
 /// Bounds what a data centre serves; runs on the leader of its group. A new one is made at each election,
 /// once the first entry of the leader's own term has been applied.
-class home_keeper {
+class placement_holder {
 public:
     /// @param id unique among the keepers of the data centre, for instance generation and term
     /// @param committed last data_center_homes in the group's log
     /// @param last_contact of the contact_observer of this instance. Empty: nothing is served before the next
     ///        contact
-    home_keeper(const keeper_options& options, std::uint64_t id, data_center_homes committed,
-                std::optional<time_point> last_contact);
+    placement_holder(const holder_options& options, std::uint64_t id, data_center_assignment committed,
+                     std::optional<time_point> last_contact);
 
     /// @param held shards that the group's table counts as home here or whose grants may be live; others that
     ///        are to be released are confirmed
     /// @returns the request to send now, if one is due
     std::optional<contact_request> poll(const shard_sets& held, time_point now);
     /// @returns homes to commit in the group's log. The contact counts once on_committed() has seen them.
-    std::optional<data_center_homes> on_reply(const contact_reply& reply);
-    void on_committed(const data_center_homes& committed);
+    std::optional<data_center_assignment> on_reply(const contact_reply& reply);
+    void on_committed(const data_center_assignment& committed);
 
     /// End of every gate lease of the service's upstreams, and so of every grant; time_point{} without a
     /// contact.
     time_point serve_until(const std::string& service) const;
     bool may_serve(const std::string& service, std::uint32_t shard, time_point now) const;
     /// Homes in force; shards that are to be released are not granted any more.
-    const data_center_homes& homes() const noexcept { return committed_; }
+    const data_center_assignment& homes() const noexcept { return committed_; }
     /// For the observers of the other instances; rounded up. Empty without a contact.
     std::optional<duration> contact_age(time_point now) const;
     std::optional<time_point> last_contact() const noexcept { return contact_; }
@@ -254,15 +255,15 @@
         std::map<std::string, duration> holds;
     };
     struct uncommitted {
-        data_center_homes homes;
+        data_center_assignment homes;
         time_point contact;
     };
 
     std::map<std::string, duration> holds() const;
 
-    keeper_options options_;
+    holder_options options_;
     std::uint64_t id_;
-    data_center_homes committed_;
+    data_center_assignment committed_;
     std::optional<time_point> contact_; ///< not later than the last contact that counts
     std::uint64_t last_number_ = 0;
     std::optional<time_point> next_request_;
@@ -277,7 +278,7 @@
 class contact_observer {
 public:
     /// @param asked when the answered question was sent
-    void on_age(time_point asked, duration age);
+    void on_contact_age(time_point asked, duration age);
     std::optional<time_point> last_contact() const noexcept { return contact_; }
 
 private:
--- a/src/placement/keeper.cpp
+++ b/src/placement/keeper.cpp
@@ -4,11 +4,11 @@
 
 namespace kingcupseam::placement {
 
-home_keeper::home_keeper(const keeper_options& options, std::uint64_t id, data_center_homes committed,
-                         std::optional<time_point> last_contact)
+placement_holder::placement_holder(const holder_options& options, std::uint64_t id,
+                                   data_center_assignment committed, std::optional<time_point> last_contact)
     : options_(options), id_(id), committed_(std::move(committed)), contact_(last_contact) {}
 
-std::map<std::string, duration> home_keeper::holds() const {
+std::map<std::string, duration> placement_holder::holds() const {
     std::map<std::string, duration> result;
     for (const auto& [service, it] : committed_.services) {
         result[service] = it.hold;
@@ -16,7 +16,7 @@
     return result;
 }
 
-std::optional<contact_request> home_keeper::poll(const shard_sets& held, time_point now) {
+std::optional<contact_request> placement_holder::poll(const shard_sets& held, time_point now) {
     if (next_request_ && now < *next_request_) {
         return std::nullopt;
     }
@@ -43,7 +43,7 @@
     return result;
 }
 
-std::optional<data_center_homes> home_keeper::on_reply(const contact_reply& reply) {
+std::optional<data_center_assignment> placement_holder::on_reply(const contact_reply& reply) {
     const auto found = open_.find(reply.number);
     if (reply.keeper != id_ || found == open_.end()) {
         return std::nullopt;
@@ -68,7 +68,7 @@
     return reply.assigned;
 }
 
-void home_keeper::on_committed(const data_center_homes& committed) {
+void placement_holder::on_committed(const data_center_assignment& committed) {
     committed_ = committed;
     if (uncommitted_ && uncommitted_->homes == committed) {
         contact_ = std::max(contact_.value_or(uncommitted_->contact), uncommitted_->contact);
@@ -76,7 +76,7 @@
     }
 }
 
-time_point home_keeper::serve_until(const std::string& service) const {
+time_point placement_holder::serve_until(const std::string& service) const {
     const auto share = committed_.services.find(service);
     if (!contact_ || share == committed_.services.end()) {
         return time_point{};
@@ -84,20 +84,20 @@
     return *contact_ + share->second.hold - drift_margin(share->second.hold);
 }
 
-bool home_keeper::may_serve(const std::string& service, std::uint32_t shard, time_point now) const {
+bool placement_holder::may_serve(const std::string& service, std::uint32_t shard, time_point now) const {
     const auto share = committed_.services.find(service);
     return share != committed_.services.end() && share->second.shards.count(shard) != 0 &&
            now < serve_until(service);
 }
 
-std::optional<duration> home_keeper::contact_age(time_point now) const {
+std::optional<duration> placement_holder::contact_age(time_point now) const {
     if (!contact_) {
         return std::nullopt;
     }
     return now - *contact_ + duration(1);
 }
 
-void contact_observer::on_age(time_point asked, duration age) {
+void contact_observer::on_contact_age(time_point asked, duration age) {
     // The age was measured by the leader's clock, and both clocks drift.
     const auto contact = asked - age - 2 * drift_margin(age);
     contact_ = std::max(contact_.value_or(contact), contact);
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-const service_homes* find_homes(const planner_view& view, const std::string& service) {
+const service_placement* find_placement(const planner_view& view, const std::string& service) {
     const auto found = view.state.services.find(service);
     return found == view.state.services.end() ? nullptr : &found->second;
 }
 
-const promise& promise_of(const home_state& state, const std::string& data_center) {
-    static const promise none;
+const hold_promise& promise_of(const placement_state& state, const std::string& data_center) {
+    static const hold_promise none;
     const auto found = state.promises.find(data_center);
     return found == state.promises.end() ? none : found->second;
 }
@@ -33,7 +33,7 @@
 
 /// The holds of the profile, but for longer ones that the data centre may still use. A request older than the
 /// last longer promise may come from a former leader of the data centre and shortens nothing.
-std::map<std::string, duration> next_promise(const contact_request& request, const promise& promised,
+std::map<std::string, duration> next_promise(const contact_request& request, const hold_promise& promised,
                                              const planner_view& view) {
     auto holds = wanted_holds(view);
     for (const auto& [service, hold] : promised.holds) {
@@ -50,8 +50,8 @@
     return holds;
 }
 
-data_center_homes assignment(const std::string& data_center, const planner_view& view) {
-    data_center_homes result;
+data_center_assignment assignment(const std::string& data_center, const planner_view& view) {
+    data_center_assignment result;
     result.version = view.state.version;
     for (const auto& [service, homes] : view.state.services) {
         const auto wanted = view.services.find(service);
@@ -77,7 +77,7 @@
     return result;
 }
 
-std::map<std::string, duration> holds_of(const data_center_homes& homes) {
+std::map<std::string, duration> holds_of(const data_center_assignment& homes) {
     std::map<std::string, duration> holds;
     for (const auto& [service, it] : homes.services) {
         holds[service] = it.hold;
@@ -86,7 +86,7 @@
 }
 
 /// Data centres with slots are added at the end: indexes of pending releases stay valid.
-std::vector<std::string> all_data_centers(const service_homes& homes, const service_view& wanted) {
+std::vector<std::string> all_data_centers(const service_placement& homes, const service_view& wanted) {
     auto names = homes.data_centers;
     for (const auto& [name, slots] : wanted.slots) {
         if (std::find(names.begin(), names.end(), name) == names.end()) {
@@ -97,23 +97,23 @@
 }
 
 /// Whether a data centre gained or lost more than @p part of the slots that the homes were spread for.
-bool changed(const std::map<std::string, std::uint32_t>& basis,
+bool changed(const std::map<std::string, std::uint32_t>& planned_slots,
              const std::map<std::string, std::uint32_t>& slots, double part) {
-    auto names = basis;
+    auto names = planned_slots;
     names.insert(slots.begin(), slots.end());
     return std::any_of(names.begin(), names.end(), [&](const auto& it) {
-        const double before = slots_of(basis, it.first);
+        const double before = slots_of(planned_slots, it.first);
         return std::abs(slots_of(slots, it.first) - before) > part * before;
     });
 }
 
 } // namespace
 
-home_planner::home_planner(const planner_options& options, time_point elected)
+placement_planner::placement_planner(const planner_options& options, time_point elected)
     : options_(options), elected_(elected) {}
 
-contact_effects home_planner::on_contact(const contact_request& request, const planner_view& view,
-                                         time_point now) {
+contact_effects placement_planner::on_contact(const contact_request& request, const planner_view& view,
+                                              time_point now) {
     contact_effects result;
     if (now >= view.leadership_valid_until) {
         return result;
@@ -121,7 +121,7 @@
     auto& last = last_contact_[request.data_center];
     last = std::max(last, now);
     for (const auto& it : request.released) {
-        const auto* homes = find_homes(view, it.service);
+        const auto* homes = find_placement(view, it.service);
         if (homes != nullptr && std::any_of(it.begun.begin(), it.begun.end(), [homes](const auto& shard) {
                 const auto found = homes->releases.find(shard.first);
                 return found != homes->releases.end() && found->second.begun == shard.second;
@@ -131,8 +131,9 @@
     }
     const auto& promised = promise_of(view.state, request.data_center);
     const auto wanted = next_promise(request, promised, view);
-    const auto taken_over = taken_over_at_.find(request.data_center);
-    const bool must_order = taken_over != taken_over_at_.end() && promised.count <= taken_over->second;
+    const auto taken_over = takeover_contact_counts_.find(request.data_center);
+    const bool must_order =
+        taken_over != takeover_contact_counts_.end() && promised.count <= taken_over->second;
     if (must_order || promised.count == 0 || wanted != promised.holds) {
         // Without a reply until it is applied: a shorter promise that is on its way would otherwise be
         // committed after a reply that offers a longer hold.
@@ -148,13 +149,13 @@
     return result;
 }
 
-bool home_planner::reachable(const std::string& data_center, time_point now) const {
+bool placement_planner::reachable(const std::string& data_center, time_point now) const {
     const auto found = last_contact_.find(data_center);
-    return found != last_contact_.end() && now - found->second <= options_.reachable_for;
+    return found != last_contact_.end() && now - found->second <= options_.contact_timeout;
 }
 
-bool home_planner::lapsed(const std::string& service, const std::string& data_center,
-                          const planner_view& view, time_point now) const {
+bool placement_planner::hold_expired(const std::string& service, const std::string& data_center,
+                                     const planner_view& view, time_point now) const {
     const auto found = last_contact_.find(data_center);
     const auto since = found == last_contact_.end() ? elected_ : found->second;
     const auto& holds = promise_of(view.state, data_center).holds;
@@ -163,19 +164,20 @@
     return now > since + hold + drift_margin(hold);
 }
 
-std::vector<command> home_planner::plan(const planner_view& view, time_point now) {
+std::vector<command> placement_planner::plan(const planner_view& view, time_point now) {
     std::vector<command> result;
     for (const auto& [service, it] : view.services) {
-        const auto* homes = find_homes(view, service);
+        const auto* homes = find_placement(view, service);
         const auto version = homes == nullptr ? 0 : homes->version;
         auto& progress = progress_[service];
         if (progress.issued_at && progress.issued_for == version &&
             now - *progress.issued_at < options_.retry_after) {
             continue;
         }
-        auto change = homes == nullptr ? first_spread(service, view, now) : take_over(service, view, now);
+        auto change =
+            homes == nullptr ? initial_placement(service, view, now) : take_over(service, view, now);
         if (!change && homes != nullptr) {
-            change = respread(service, view, now);
+            change = rebalance(service, view, now);
         }
         if (change) {
             progress.issued_for = version;
@@ -186,40 +188,41 @@
     return result;
 }
 
-std::optional<command> home_planner::first_spread(const std::string& service, const planner_view& view,
-                                                  time_point now) {
+std::optional<command> placement_planner::initial_placement(const std::string& service,
+                                                            const planner_view& view, time_point now) {
     const auto& wanted = view.services.at(service);
     auto& progress = progress_[service];
-    set_homes change;
+    set_placement change;
     change.service = service;
     std::vector<std::uint32_t> slots;
     for (const auto& [name, count] : wanted.slots) {
         if (count > 0 && reachable(name, now)) {
             change.data_centers.push_back(name);
-            change.basis[name] = count;
+            change.planned_slots[name] = count;
             slots.push_back(count);
         }
     }
     if (slots.empty()) {
-        progress.slots_seen.reset();
+        progress.slots_seen_since.reset();
         return std::nullopt;
     }
-    if (!progress.slots_seen) {
-        progress.slots_seen = now;
+    if (!progress.slots_seen_since) {
+        progress.slots_seen_since = now;
     }
-    if (now - *progress.slots_seen < options_.first_spread_delay) {
+    if (now - *progress.slots_seen_since < options_.initial_placement_delay) {
         return std::nullopt;
     }
-    change.homes = spread(std::vector<std::int16_t>(wanted.shards, no_home), slots,
-                          std::vector<bool>(wanted.shards, true), std::vector<bool>(slots.size(), true));
+    change.homes =
+        spread_shards(std::vector<std::int16_t>(wanted.shards, unplaced), slots,
+                      std::vector<bool>(wanted.shards, true), std::vector<bool>(slots.size(), true));
     return change;
 }
 
-std::optional<command> home_planner::take_over(const std::string& service, const planner_view& view,
-                                               time_point now) {
+std::optional<command> placement_planner::take_over(const std::string& service, const planner_view& view,
+                                                    time_point now) {
     const auto& wanted = view.services.at(service);
-    const auto& homes = *find_homes(view, service);
-    set_homes change;
+    const auto& homes = *find_placement(view, service);
+    set_placement change;
     change.service = service;
     change.base_version = homes.version;
     change.data_centers = all_data_centers(homes, wanted);
@@ -228,61 +231,62 @@
     std::vector<bool> may_gain;
     for (std::size_t n = 0; n < change.data_centers.size(); ++n) {
         const auto& name = change.data_centers[n];
-        const bool lost = lapsed(service, name, view, now);
+        const bool lost = hold_expired(service, name, view, now);
         slots.push_back(lost ? 0 : slots_of(wanted.slots, name));
         may_gain.push_back(reachable(name, now));
-        change.basis[name] = slots.back();
+        change.planned_slots[name] = slots.back();
         const auto self = static_cast<std::int16_t>(n);
         if (lost && std::count(current.begin(), current.end(), self) > 0) {
-            std::replace(current.begin(), current.end(), self, no_home);
+            std::replace(current.begin(), current.end(), self, unplaced);
             change.contacts[name] = promise_of(view.state, name).count;
         }
     }
-    if (std::count(current.begin(), current.end(), no_home) == 0) {
+    if (std::count(current.begin(), current.end(), unplaced) == 0) {
         return std::nullopt;
     }
-    change.homes = spread(current, slots, std::vector<bool>(current.size(), false), may_gain);
+    change.homes = spread_shards(current, slots, std::vector<bool>(current.size(), false), may_gain);
     if (change.homes == current) {
         return std::nullopt;
     }
     for (const auto& [name, count] : change.contacts) {
-        taken_over_at_[name] = count;
+        takeover_contact_counts_[name] = count;
     }
     return change;
 }
 
-std::optional<command> home_planner::respread(const std::string& service, const planner_view& view,
-                                              time_point now) {
+std::optional<command> placement_planner::rebalance(const std::string& service, const planner_view& view,
+                                                    time_point now) {
     const auto& wanted = view.services.at(service);
-    const auto& homes = *find_homes(view, service);
+    const auto& homes = *find_placement(view, service);
     auto& progress = progress_[service];
     const auto names = all_data_centers(homes, wanted);
     std::vector<std::uint32_t> slots;
     std::vector<bool> active;
-    std::map<std::string, std::uint32_t> basis;
+    std::map<std::string, std::uint32_t> planned_slots;
     for (const auto& name : names) {
         // A data centre that is cut off keeps the slots it had; its hold decides.
         const bool here = reachable(name, now);
         active.push_back(here);
-        slots.push_back(here ? slots_of(wanted.slots, name) : slots_of(homes.basis, name));
-        basis[name] = slots.back();
+        slots.push_back(here ? slots_of(wanted.slots, name) : slots_of(homes.planned_slots, name));
+        planned_slots[name] = slots.back();
     }
-    if (!homes.releases.empty() || !changed(homes.basis, basis, options_.changed_part)) {
+    if (!homes.releases.empty() ||
+        !changed(homes.planned_slots, planned_slots, options_.rebalance_threshold)) {
         progress.changed_since.reset();
         return std::nullopt;
     }
     if (!progress.changed_since) {
         progress.changed_since = now;
     }
-    if (now - *progress.changed_since < options_.respread_delay) {
+    if (now - *progress.changed_since < options_.rebalance_delay) {
         return std::nullopt;
     }
     std::vector<bool> movable;
     for (const auto home : homes.homes) {
-        movable.push_back(home != no_home && active[static_cast<std::size_t>(home)]);
+        movable.push_back(home != unplaced && active[static_cast<std::size_t>(home)]);
     }
-    const auto next = spread(homes.homes, slots, movable, active);
-    begin_release change{service, homes.version, {}, std::move(basis)};
+    const auto next = spread_shards(homes.homes, slots, movable, active);
+    begin_release change{service, homes.version, {}, std::move(planned_slots)};
     for (std::uint32_t shard = 0; shard < next.size(); ++shard) {
         if (next[shard] != homes.homes[shard]) {
             change.next[shard] = names[static_cast<std::size_t>(next[shard])];
--- a/src/placement/spread.cpp
+++ b/src/placement/spread.cpp
@@ -64,7 +64,7 @@
     std::vector<std::int64_t> candidates(surplus.size());
     std::vector<std::size_t> result;
     for (std::size_t shard = 0; shard < current.size(); ++shard) {
-        if (current[shard] == no_home) {
+        if (current[shard] == unplaced) {
             result.push_back(shard);
             --room;
         } else if (movable[shard]) {
@@ -73,7 +73,7 @@
     }
     std::vector<std::int64_t> progress(surplus.size());
     for (std::size_t shard = 0; shard < current.size() && room > 0; ++shard) {
-        if (current[shard] == no_home || !movable[shard]) {
+        if (current[shard] == unplaced || !movable[shard]) {
             continue;
         }
         const auto from = static_cast<std::size_t>(current[shard]);
@@ -90,13 +90,13 @@
 
 } // namespace
 
-std::vector<std::int16_t> spread(const std::vector<std::int16_t>& current,
-                                 const std::vector<std::uint32_t>& slots, const std::vector<bool>& movable,
-                                 const std::vector<bool>& may_gain) {
+std::vector<std::int16_t> spread_shards(const std::vector<std::int16_t>& current,
+                                        const std::vector<std::uint32_t>& slots,
+                                        const std::vector<bool>& movable, const std::vector<bool>& may_gain) {
     std::vector<std::int64_t> counts(slots.size());
     std::int64_t homeless = 0;
     for (const auto home : current) {
-        home == no_home ? ++homeless : ++counts[static_cast<std::size_t>(home)];
+        home == unplaced ? ++homeless : ++counts[static_cast<std::size_t>(home)];
     }
     bool any = false;
     for (std::size_t n = 0; n < slots.size(); ++n) {
--- a/src/placement/state.cpp
+++ b/src/placement/state.cpp
@@ -6,26 +6,26 @@
 
 namespace {
 
-bool valid(const set_homes& change) {
+bool valid(const set_placement& change) {
     return std::all_of(change.homes.begin(), change.homes.end(), [&change](std::int16_t it) {
-        return it >= no_home && it < static_cast<std::int16_t>(change.data_centers.size());
+        return it >= unplaced && it < static_cast<std::int16_t>(change.data_centers.size());
     });
 }
 
-bool contacted_since(const home_state& state, const set_homes& change) {
+bool contacted_since(const placement_state& state, const set_placement& change) {
     return std::any_of(change.contacts.begin(), change.contacts.end(), [&state](const auto& it) {
         const auto found = state.promises.find(it.first);
         return (found == state.promises.end() ? 0 : found->second.count) != it.second;
     });
 }
 
-bool apply_change(home_state& state, const set_homes& change, std::uint64_t index) {
+bool apply_change(placement_state& state, const set_placement& change, std::uint64_t index) {
     const auto found = state.services.find(change.service);
     const auto version = found == state.services.end() ? 0 : found->second.version;
     if (version != change.base_version || !valid(change) || contacted_since(state, change)) {
         return false;
     }
-    service_homes next{change.data_centers, change.homes, {}, change.basis, index};
+    service_placement next{change.data_centers, change.homes, {}, change.planned_slots, index};
     if (found != state.services.end()) {
         const auto& former = found->second;
         // Indexes of pending releases stay valid only because a list of data centres is only ever extended.
@@ -44,7 +44,7 @@
     return true;
 }
 
-std::int16_t index_of(service_homes& homes, const std::string& data_center) {
+std::int16_t index_of(service_placement& homes, const std::string& data_center) {
     const auto found = std::find(homes.data_centers.begin(), homes.data_centers.end(), data_center);
     const auto position = found - homes.data_centers.begin();
     if (found == homes.data_centers.end()) {
@@ -53,7 +53,7 @@
     return static_cast<std::int16_t>(position);
 }
 
-bool apply_change(home_state& state, const begin_release& change, std::uint64_t index) {
+bool apply_change(placement_state& state, const begin_release& change, std::uint64_t index) {
     const auto found = state.services.find(change.service);
     if (found == state.services.end() || found->second.version != change.base_version) {
         return false;
@@ -64,18 +64,18 @@
             continue;
         }
         const auto next = index_of(homes, data_center);
-        if (homes.homes[shard] == no_home) {
+        if (homes.homes[shard] == unplaced) {
             homes.homes[shard] = next;
         } else if (homes.homes[shard] != next) {
             homes.releases[shard] = {next, index};
         }
     }
-    homes.basis = change.basis;
+    homes.planned_slots = change.planned_slots;
     homes.version = index;
     return true;
 }
 
-bool apply_change(home_state& state, const confirm_release& change, std::uint64_t index) {
+bool apply_change(placement_state& state, const confirm_release& change, std::uint64_t index) {
     const auto found = state.services.find(change.service);
     if (found == state.services.end()) {
         return false;
@@ -98,7 +98,7 @@
     return changed;
 }
 
-bool apply_change(home_state& state, const contact& change, std::uint64_t index) {
+bool apply_change(placement_state& state, const contact& change, std::uint64_t index) {
     auto& it = state.promises[change.data_center];
     ++it.count;
     const bool longer = std::any_of(change.holds.begin(), change.holds.end(), [&it](const auto& hold) {
@@ -114,7 +114,7 @@
 
 } // namespace
 
-bool home_state::apply(const command& change, std::uint64_t index) {
+bool placement_state::apply(const command& change, std::uint64_t index) {
     const bool changed =
         std::visit([this, index](const auto& it) { return apply_change(*this, it, index); }, change);
     if (changed) {
--- a/tests/placement/keeper_test.cpp
+++ b/tests/placement/keeper_test.cpp
@@ -14,15 +14,15 @@
     return std::chrono::seconds(n);
 }
 
-data_center_homes record(std::uint64_t version, std::set<std::uint32_t> shards,
-                         std::map<std::uint32_t, std::uint64_t> releasing = {}, duration hold = s(60)) {
+data_center_assignment record(std::uint64_t version, std::set<std::uint32_t> shards,
+                              std::map<std::uint32_t, std::uint64_t> releasing = {}, duration hold = s(60)) {
     return {version, {{service, {hold, std::move(shards), std::move(releasing)}}}};
 }
 
 } // namespace
 
 TEST_CASE("a keeper serves its homes from a contact until the hold has run out") {
-    home_keeper keeper({"a"}, 7, {}, std::nullopt);
+    placement_holder keeper({"a"}, 7, {}, std::nullopt);
     const auto first = keeper.poll({}, start);
     REQUIRE(first);
     CHECK_FALSE(keeper.poll({}, start + std::chrono::milliseconds(499)));
@@ -69,7 +69,7 @@
 }
 
 TEST_CASE("a keeper confirms a release once nothing holds the shard") {
-    home_keeper keeper({"a"}, 7, record(9, {1}, {{2, 8}, {3, 9}}), start);
+    placement_holder keeper({"a"}, 7, record(9, {1}, {{2, 8}, {3, 9}}), start);
     CHECK_FALSE(keeper.may_serve(service, 2, start));
     const auto request = keeper.poll({{service, {1, 3}}}, start);
     REQUIRE(request->released.size() == 1);
@@ -80,22 +80,22 @@
 
 TEST_CASE("a new leader of a data centre does not extend the hold") {
     SUBCASE("without a known contact it serves nothing") {
-        const home_keeper keeper({"a"}, 8, record(5, {1}), std::nullopt);
+        const placement_holder keeper({"a"}, 8, record(5, {1}), std::nullopt);
         CHECK_FALSE(keeper.may_serve(service, 1, start));
         CHECK_FALSE(keeper.contact_age(start));
     }
     SUBCASE("the observed contact is not later than the real one, whatever the delay of the answer") {
-        home_keeper former({"a"}, 7, record(5, {1}), start);
+        placement_holder former({"a"}, 7, record(5, {1}), start);
         contact_observer observer;
         // Asked 10 s after the contact; the answer was made 3 s later.
-        observer.on_age(start + s(10), *former.contact_age(start + s(13)));
+        observer.on_contact_age(start + s(10), *former.contact_age(start + s(13)));
         REQUIRE(observer.last_contact());
         CHECK(*observer.last_contact() < start);
         CHECK(*observer.last_contact() > start - s(4));
         const auto kept = observer.last_contact();
-        observer.on_age(start + s(20), *former.contact_age(start + s(29)));
+        observer.on_contact_age(start + s(20), *former.contact_age(start + s(29)));
         CHECK(observer.last_contact() == kept);
-        const home_keeper next({"a"}, 8, record(5, {1}), observer.last_contact());
+        const placement_holder next({"a"}, 8, record(5, {1}), observer.last_contact());
         CHECK(next.serve_until(service) <= former.serve_until(service));
         CHECK(next.may_serve(service, 1, start + s(50)));
     }
--- a/tests/placement/planner_test.cpp
+++ b/tests/placement/planner_test.cpp
@@ -18,13 +18,13 @@
 
 /// A planner with the state it acts on; commands are applied at once unless a test holds them back.
 struct leader {
-    home_state state;
+    placement_state state;
     std::uint64_t index = 0;
     std::map<std::string, std::uint32_t> slots{{"a", 10}, {"b", 10}, {"c", 10}};
     duration hold = s(60);
     std::uint32_t shards = 12;
     time_point valid_until = start + std::chrono::hours(100);
-    home_planner planner{{}, start};
+    placement_planner planner{{}, start};
     std::uint64_t number = 0;
 
     planner_view view() const { return {state, {{service, {shards, hold, slots}}}, valid_until}; }
@@ -54,13 +54,13 @@
     std::int64_t homes_of(const std::string& name) const {
         const auto& it = state.services.at(service);
         return std::count_if(it.homes.begin(), it.homes.end(), [&](auto home) {
-            return home != no_home && it.data_centers[static_cast<std::size_t>(home)] == name;
+            return home != unplaced && it.data_centers[static_cast<std::size_t>(home)] == name;
         });
     }
 };
 
 std::vector<std::int16_t> none(std::size_t shards) {
-    return std::vector<std::int16_t>(shards, no_home);
+    return std::vector<std::int16_t>(shards, unplaced);
 }
 
 std::vector<std::int64_t> counts(const std::vector<std::int16_t>& homes, std::size_t data_centers) {
@@ -83,7 +83,7 @@
 
 TEST_CASE("shards are spread in proportion to the slots with the fewest moves") {
     const std::vector<bool> all(4096, true);
-    const auto first = spread(none(4096), {20, 10, 10}, all, {true, true, true});
+    const auto first = spread_shards(none(4096), {20, 10, 10}, all, {true, true, true});
     SUBCASE("the first spread is proportional and interleaved") {
         CHECK(counts(first, 3) == std::vector<std::int64_t>{2048, 1024, 1024});
         // Long runs of one home would put neighbouring shards of a hot service into one data centre.
@@ -93,27 +93,28 @@
         }
     }
     SUBCASE("nothing moves when nothing changed") {
-        CHECK(spread(first, {20, 10, 10}, all, {true, true, true}) == first);
+        CHECK(spread_shards(first, {20, 10, 10}, all, {true, true, true}) == first);
     }
     SUBCASE("a joining data centre takes its share and nothing else moves") {
-        const auto next = spread(first, {20, 10, 10, 10}, all, {true, true, true, true});
+        const auto next = spread_shards(first, {20, 10, 10, 10}, all, {true, true, true, true});
         const auto shared = counts(next, 4);
         CHECK(shared[3] == moves(first, next));
         CHECK(std::abs(shared[0] - 1638) <= 1);
         CHECK(std::abs(shared[3] - 819) <= 1);
     }
     SUBCASE("shards that may not move stay, whatever the slots") {
-        CHECK(spread(first, {0, 10, 10}, std::vector<bool>(4096, false), {true, true, true}) == first);
+        CHECK(spread_shards(first, {0, 10, 10}, std::vector<bool>(4096, false), {true, true, true}) == first);
     }
     SUBCASE("shards without a home go to those that may gain, also above their share") {
         auto lost = first;
-        std::replace(lost.begin(), lost.end(), std::int16_t{0}, no_home);
-        const auto next = spread(lost, {0, 10, 10}, std::vector<bool>(4096, false), {false, true, false});
+        std::replace(lost.begin(), lost.end(), std::int16_t{0}, unplaced);
+        const auto next =
+            spread_shards(lost, {0, 10, 10}, std::vector<bool>(4096, false), {false, true, false});
         CHECK(counts(next, 3) == std::vector<std::int64_t>{0, 3072, 1024});
     }
     SUBCASE("without a data centre that may gain nothing changes") {
-        CHECK(spread(none(4), {10, 10}, {true, true, true, true}, {false, false}) == none(4));
-        CHECK(spread(none(4), {0, 0}, {true, true, true, true}, {true, true}) == none(4));
+        CHECK(spread_shards(none(4), {10, 10}, {true, true, true, true}, {false, false}) == none(4));
+        CHECK(spread_shards(none(4), {0, 0}, {true, true, true, true}, {true, true}) == none(4));
     }
 }
 
@@ -136,7 +137,7 @@
     }
     SUBCASE("a newly elected leader counts the hold from its election") {
         const auto elected = formed + s(50);
-        it.planner = home_planner({}, elected);
+        it.planner = placement_planner({}, elected);
         CHECK(silent_until(elected + s(60)).empty());
         CHECK(silent_until(elected + s(61)).size() == 1);
     }
@@ -241,8 +242,8 @@
     const auto before = it.state;
     CHECK_FALSE(it.apply(begin_release{service, version - 1, {{0, "b"}}, {}}));
     CHECK_FALSE(it.apply(begin_release{"unknown", version, {{0, "b"}}, {}}));
-    CHECK_FALSE(it.apply(set_homes{service, 0, {"a"}, none(12), {}, {}}));
-    CHECK_FALSE(it.apply(set_homes{service, version, {"a"}, none(12), {}, {}}));
-    CHECK_FALSE(it.apply(set_homes{service, version, {"a", "b", "c"}, {7}, {}, {}}));
+    CHECK_FALSE(it.apply(set_placement{service, 0, {"a"}, none(12), {}, {}}));
+    CHECK_FALSE(it.apply(set_placement{service, version, {"a"}, none(12), {}, {}}));
+    CHECK_FALSE(it.apply(set_placement{service, version, {"a", "b", "c"}, {7}, {}, {}}));
     CHECK(it.state == before);
 }
--- a/tests/placement/scenario_test.cpp
+++ b/tests/placement/scenario_test.cpp
@@ -15,10 +15,10 @@
 class player {
 public:
     player(const kingcupseam::test::scenario& script, std::uint64_t seed, faults broken)
-        : script_(script), world_(options_of(script, seed, broken)) {}
+        : script_(script), simulation_(options_of(script, seed, broken)) {}
 
     /// @param expect whether the expect_* steps are checked; a broken variant may miss them
-    const world& play(bool expect) {
+    const simulation& play(bool expect) {
         for (const auto& it : script_.steps) {
             CAPTURE(it.verb);
             if (it.verb.rfind("expect_", 0) != 0) {
@@ -27,20 +27,20 @@
                 check(it);
             }
         }
-        return world_;
+        return simulation_;
     }
 
 private:
-    static world_options options_of(const kingcupseam::test::scenario& script, std::uint64_t seed,
-                                    faults broken) {
-        world_options options;
+    static simulation_options options_of(const kingcupseam::test::scenario& script, std::uint64_t seed,
+                                         faults broken) {
+        simulation_options options;
         options.seed = seed;
         options.loss = toml::find_or(script.setup, "loss", options.loss);
         options.held_back = toml::find_or(script.setup, "held_back", options.held_back);
         options.max_delay =
             std::chrono::milliseconds(toml::find_or(script.setup, "max_delay_ms", std::int64_t{20}));
         options.hold = std::chrono::seconds(toml::find_or(script.setup, "hold_s", std::int64_t{60}));
-        options.planning.respread_delay =
+        options.planning.rebalance_delay =
             std::chrono::seconds(toml::find_or(script.setup, "respread_delay_s", std::int64_t{30}));
         options.held_back_for =
             std::chrono::milliseconds(toml::find_or(script.setup, "held_back_ms", std::int64_t{3000}));
@@ -52,36 +52,36 @@
         const auto name = it.text("name");
         if (it.verb == "data_centers") {
             for (const auto& center : it.list("names")) {
-                world_.add_data_center(center, static_cast<std::uint32_t>(it.number("slots", 10)));
+                simulation_.add_data_center(center, static_cast<std::uint32_t>(it.number("slots", 10)));
             }
         } else if (it.verb == "run") {
-            world_.run(std::chrono::milliseconds(it.number("ms")));
+            simulation_.run(std::chrono::milliseconds(it.number("ms")));
         } else if (it.verb == "cut") {
             for (const auto& other : it.list("from")) {
-                world_.cut(name, other);
+                simulation_.cut(name, other);
             }
         } else if (it.verb == "mute") {
-            world_.mute(name);
+            simulation_.mute(name);
         } else if (it.verb == "heal") {
-            world_.heal();
+            simulation_.heal();
         } else if (it.verb == "lose") {
-            world_.lose(name);
+            simulation_.lose(name);
         } else if (it.verb == "bring_back") {
-            world_.bring_back(name);
+            simulation_.bring_back(name);
         } else if (it.verb == "slots") {
-            world_.set_slots(name, static_cast<std::uint32_t>(it.number("count")));
+            simulation_.set_slots(name, static_cast<std::uint32_t>(it.number("count")));
         } else if (it.verb == "hold") {
-            world_.set_hold(std::chrono::seconds(it.number("s")));
+            simulation_.set_hold(std::chrono::seconds(it.number("s")));
         } else if (it.verb == "change_leader") {
-            world_.change_leader(name);
+            simulation_.change_leader(name);
         } else if (it.verb == "change_global_leader") {
-            world_.change_global_leader();
+            simulation_.change_global_leader();
         } else if (it.verb == "network") {
-            world_.set_network(std::chrono::milliseconds(it.number("max_delay_ms", 20)),
-                               toml::find_or(it.arguments, "loss", 0.02),
-                               toml::find_or(it.arguments, "held_back", 0.02));
+            simulation_.set_network(std::chrono::milliseconds(it.number("max_delay_ms", 20)),
+                                    toml::find_or(it.arguments, "loss", 0.02),
+                                    toml::find_or(it.arguments, "held_back", 0.02));
         } else if (it.verb == "lose_confirmations") {
-            world_.lose_confirmations(it.text("until_heard", "no") == "no");
+            simulation_.lose_confirmations(it.text("until_heard", "no") == "no");
         } else {
             FAIL("unknown verb " << it.verb);
         }
@@ -92,20 +92,20 @@
         const auto count = it.number("count");
         CAPTURE(name);
         if (it.verb == "expect_homes") {
-            CHECK(world_.homes_of(name) == count);
+            CHECK(simulation_.homes_of(name) == count);
         } else if (it.verb == "expect_served") {
-            CHECK(world_.served_by(name) == count);
+            CHECK(simulation_.served_by(name) == count);
         } else if (it.verb == "expect_releasing") {
-            CHECK((world_.releasing() > 0) == (it.text("any", "yes") == "yes"));
+            CHECK((simulation_.releasing() > 0) == (it.text("any", "yes") == "yes"));
         } else if (it.verb == "expect_moves") {
-            CHECK(world_.moves() == static_cast<std::uint64_t>(count));
+            CHECK(simulation_.moves() == static_cast<std::uint64_t>(count));
         } else {
             FAIL("unknown verb " << it.verb);
         }
     }
 
     kingcupseam::test::scenario script_;
-    world world_;
+    simulation simulation_;
 };
 
 kingcupseam::test::scenario load(const std::string& name) {
--- a/tests/placement/world.cpp
+++ b/tests/placement/world.cpp
@@ -17,29 +17,29 @@
 
 } // namespace
 
-time_point world::clock::at(time_point now) const {
+time_point simulation::clock::at(time_point now) const {
     const auto length = static_cast<double>(now.time_since_epoch().count());
     return time_point(duration(static_cast<std::int64_t>(length * rate))) + offset;
 }
 
-time_point world::clock::back(time_point local) const {
+time_point simulation::clock::back(time_point local) const {
     const auto length = static_cast<double>((local - offset).time_since_epoch().count());
     return time_point(duration(static_cast<std::int64_t>(length / rate)));
 }
 
-world::world(const world_options& options) : options_(options), random_(options.seed) {}
+simulation::simulation(const simulation_options& options) : options_(options), random_(options.seed) {}
 
-duration world::random_duration(duration longest) {
+duration simulation::random_duration(duration longest) {
     return duration(std::uniform_int_distribution<std::int64_t>(0, longest.count())(random_));
 }
 
 // The ends of the allowed range find missing margins most surely.
-world::clock world::random_clock() {
+simulation::clock simulation::random_clock() {
     const double drift = 1.0 / static_cast<double>(clock_drift_divisor);
     return {1 + (chance(0.5) ? drift : -drift), random_duration(std::chrono::hours(10))};
 }
 
-void world::add_data_center(const std::string& name, std::uint32_t slots) {
+void simulation::add_data_center(const std::string& name, std::uint32_t slots) {
     auto& it = centers_[name];
     it.name = name;
     it.slots = slots;
@@ -50,7 +50,7 @@
     it.election_at = now_ + random_duration(ms(1000));
 }
 
-void world::lose(const std::string& name) {
+void simulation::lose(const std::string& name) {
     auto& it = centers_.at(name);
     it.alive = false;
     it.keeper.reset();
@@ -59,7 +59,7 @@
     ++it.term;
 }
 
-void world::bring_back(const std::string& name) {
+void simulation::bring_back(const std::string& name) {
     auto& it = centers_.at(name);
     it.alive = true;
     it.committed = {};
@@ -70,7 +70,7 @@
     it.election_at = now_;
 }
 
-void world::change_leader(const std::string& data_center) {
+void simulation::change_leader(const std::string& data_center) {
     auto& it = centers_.at(data_center);
     it.keeper.reset();
     ++it.term;
@@ -78,33 +78,33 @@
     it.election_at = now_ + election;
 }
 
-void world::change_global_leader() {
+void simulation::change_global_leader() {
     planner_.reset();
     last_quorum_ = now_;
 }
 
-void world::set_network(duration max_delay, double loss, double held_back) {
+void simulation::set_network(duration max_delay, double loss, double held_back) {
     options_.max_delay = max_delay;
     options_.loss = loss;
     options_.held_back = held_back;
 }
 
-bool world::linked(const std::string& a, const std::string& b) const {
+bool simulation::linked(const std::string& a, const std::string& b) const {
     const auto both = centers_.at(a).alive && centers_.at(b).alive;
     return both && cuts_.count({std::min(a, b), std::max(a, b)}) == 0;
 }
 
-bool world::majority(const std::string& name) const {
+bool simulation::majority(const std::string& name) const {
     const auto reached = std::count_if(centers_.begin(), centers_.end(),
                                        [&](const auto& it) { return linked(name, it.first); });
     return static_cast<std::size_t>(reached) > centers_.size() / 2;
 }
 
-void world::after(duration delay, std::function<void()> action) {
+void simulation::after(duration delay, std::function<void()> action) {
     network_.emplace(now_ + delay, delivery{"", "", std::move(action)});
 }
 
-void world::send(const std::string& from, const std::string& to, std::function<void()> action) {
+void simulation::send(const std::string& from, const std::string& to, std::function<void()> action) {
     if (!linked(from, to) || (from != to && (muted_.count(from) != 0 || chance(options_.loss)))) {
         return;
     }
@@ -113,19 +113,19 @@
     network_.emplace(now_ + random_duration(longest), delivery{from, to, std::move(action)});
 }
 
-planner_view world::view() const {
+planner_view simulation::view() const {
     service_view wanted{options_.shards, options_.hold, mirrored_slots_};
     const auto& local = centers_.at(global_leader_).global_voter;
     return {state_, {{service, wanted}}, local.at(last_quorum_ + leadership)};
 }
 
-void world::run(duration length) {
+void simulation::run(duration length) {
     for (const auto end = now_ + length; now_ < end;) {
         step();
     }
 }
 
-void world::step() {
+void simulation::step() {
     now_ += tick;
     while (!network_.empty() && network_.begin()->first <= now_) {
         const auto it = std::move(network_.begin()->second);
@@ -141,7 +141,7 @@
     check();
 }
 
-void world::step_global() {
+void simulation::step_global() {
     if (planner_ && majority(global_leader_)) {
         last_quorum_ = now_;
     }
@@ -167,7 +167,7 @@
     }
 }
 
-void world::elect_global() {
+void simulation::elect_global() {
     std::vector<std::string> candidates;
     for (const auto& [name, it] : centers_) {
         if (majority(name)) {
@@ -185,10 +185,10 @@
     if (options_.broken.forgetful_planner) {
         elected -= options_.hold * 2;
     }
-    planner_ = std::make_unique<home_planner>(options_.planning, elected);
+    planner_ = std::make_unique<placement_planner>(options_.planning, elected);
 }
 
-void world::propose(const command& change) {
+void simulation::propose(const command& change) {
     // Commands of one leader are committed in order; a leader without a majority commits nothing. Between two
     // leaders half of the commands are in the log of the next one, which commits them before its first own
     // entry.
@@ -199,7 +199,7 @@
     });
 }
 
-void world::apply(const command& change) {
+void simulation::apply(const command& change) {
     const auto before = state_;
     state_.apply(change, ++index_);
     const auto old = before.services.find(service);
@@ -211,7 +211,7 @@
     }
 }
 
-void world::start_keeper(center& it) {
+void simulation::start_keeper(center& it) {
     it.election_at.reset();
     ++it.term;
     auto contact = it.voters[it.leader].observer.last_contact();
@@ -223,10 +223,10 @@
     }
     it.receipt_error = {};
     it.sent.clear();
-    it.keeper = std::make_unique<home_keeper>(keeper_options{it.name}, it.term, it.committed, contact);
+    it.keeper = std::make_unique<placement_holder>(holder_options{it.name}, it.term, it.committed, contact);
 }
 
-void world::step_center(center& it) {
+void simulation::step_center(center& it) {
     if (!it.alive) {
         return;
     }
@@ -247,12 +247,12 @@
         const auto asked = member.local.at(now_ - random_duration(options_.max_delay));
         const auto age = it.keeper->contact_age(it.voters[it.leader].local.at(now_));
         if (age && !chance(options_.loss)) {
-            member.observer.on_age(asked, *age);
+            member.observer.on_contact_age(asked, *age);
         }
     }
 }
 
-shard_sets world::held(const center& it) const {
+shard_sets simulation::held(const center& it) const {
     shard_sets result;
     const auto share = it.committed.services.find(service);
     if (share != it.committed.services.end()) {
@@ -266,7 +266,7 @@
     return result;
 }
 
-void world::contact_leader(center& it) {
+void simulation::contact_leader(center& it) {
     const auto local = it.voters[it.leader].local.at(now_);
     const auto request = it.keeper->poll(options_.broken.confirm_at_once ? shard_sets{} : held(it), local);
     if (!request) {
@@ -278,7 +278,7 @@
     }
 }
 
-void world::receive_request(const contact_request& sent) {
+void simulation::receive_request(const contact_request& sent) {
     if (!planner_) {
         return;
     }
@@ -303,7 +303,7 @@
     }
 }
 
-void world::receive_reply(const std::string& name, const contact_reply& reply) {
+void simulation::receive_reply(const std::string& name, const contact_reply& reply) {
     auto& it = centers_.at(name);
     if (!it.keeper) {
         return;
@@ -321,7 +321,7 @@
         if (!it.alive || homes.version < it.committed.version || (term != it.term && chance(0.5))) {
             return;
         }
-        const auto shards = [](const data_center_homes& record) {
+        const auto shards = [](const data_center_assignment& record) {
             const auto share = record.services.find(service);
             return share == record.services.end() ? 0 : share->second.shards.size();
         };
@@ -335,7 +335,7 @@
     });
 }
 
-void world::grant(center& it) {
+void simulation::grant(center& it) {
     const auto& local = it.voters[it.leader].local;
     auto limit = it.keeper->serve_until(service);
     if (limit == time_point{}) {
@@ -355,7 +355,7 @@
     }
 }
 
-void world::check() {
+void simulation::check() {
     for (std::uint32_t shard = 0; shard < options_.shards; ++shard) {
         std::string holders;
         int count = 0;
@@ -373,24 +373,24 @@
     }
 }
 
-std::uint32_t world::homes_of(const std::string& name) const {
+std::uint32_t simulation::homes_of(const std::string& name) const {
     const auto found = state_.services.find(service);
     if (found == state_.services.end()) {
         return 0;
     }
     const auto& homes = found->second;
     return static_cast<std::uint32_t>(std::count_if(homes.homes.begin(), homes.homes.end(), [&](auto it) {
-        return it != no_home && homes.data_centers[static_cast<std::size_t>(it)] == name;
+        return it != unplaced && homes.data_centers[static_cast<std::size_t>(it)] == name;
     }));
 }
 
-std::uint32_t world::served_by(const std::string& name) const {
+std::uint32_t simulation::served_by(const std::string& name) const {
     const auto& grants = centers_.at(name).grants;
     return static_cast<std::uint32_t>(
         std::count_if(grants.begin(), grants.end(), [this](const auto& it) { return it.second > now_; }));
 }
 
-std::uint32_t world::releasing() const {
+std::uint32_t simulation::releasing() const {
     const auto found = state_.services.find(service);
     return found == state_.services.end() ? 0 : static_cast<std::uint32_t>(found->second.releases.size());
 }
--- a/tests/placement/world.h
+++ b/tests/placement/world.h
@@ -21,7 +21,7 @@
     bool old_homes_at_election = false; ///< a new leader of a data centre does not know its last homes
 };
 
-struct world_options {
+struct simulation_options {
     std::uint64_t seed = 1;
     std::uint32_t shards = 12;
     duration hold = std::chrono::seconds(60);
@@ -37,9 +37,9 @@
 /// planners, keepers and observers; virtual time, clocks that drift up to the allowed rate, and a network
 /// that delays, reorders and loses messages. After every step of 10 ms at most one data centre may have a
 /// live grant of a shard.
-class world {
+class simulation {
 public:
-    explicit world(const world_options& options);
+    explicit simulation(const simulation_options& options);
 
     void add_data_center(const std::string& name, std::uint32_t slots);
     void set_slots(const std::string& name, std::uint32_t slots) { centers_.at(name).slots = slots; }
@@ -87,9 +87,9 @@
         std::size_t leader = 0;
         std::uint64_t term = 0;
         std::optional<time_point> election_at;
-        std::unique_ptr<home_keeper> keeper;
-        data_center_homes committed;
-        data_center_homes most_homes; ///< the record with most shards so far
+        std::unique_ptr<placement_holder> keeper;
+        data_center_assignment committed;
+        data_center_assignment most_homes; ///< the record with most shards so far
         duration receipt_error{};
         std::map<std::uint64_t, time_point> sent;
         std::map<std::uint32_t, time_point> grants; ///< end in true time, by shard
@@ -123,7 +123,7 @@
     shard_sets held(const center& it) const;
     void check();
 
-    world_options options_;
+    simulation_options options_;
     std::mt19937_64 random_;
     time_point now_{std::chrono::hours(1)};
     std::map<std::string, center> centers_;
@@ -132,13 +132,13 @@
     std::multimap<time_point, delivery> network_;
     bool lose_confirmations_ = false;
 
-    home_state state_;
+    placement_state state_;
     std::uint64_t index_ = 0;
     std::uint64_t global_term_ = 0;
     std::string global_leader_;
     time_point last_quorum_{};
     time_point next_plan_{};
-    std::unique_ptr<home_planner> planner_;
+    std::unique_ptr<placement_planner> planner_;
     std::map<std::string, std::uint32_t> mirrored_slots_;
 
     std::uint64_t moves_ = 0;
