--- a/tests/placement/scenario_test.cpp
+++ b/tests/placement/scenario_test.cpp
@@ -1,4 +1,4 @@
-#include "placement/world.h"
+#include "placement/simulation.h"
 #include "support/scenario.h"
 
 #include <doctest/doctest.h>
