--- a/include/kingcupseam/placement.h
+++ b/include/kingcupseam/placement.h
@@ -33,7 +33,7 @@
 /// Homes of the shards of one service.
 struct service_placement {
     std::vector<std::string> data_centers;
-    std::vector<std::int16_t> homes; ///< index into data_centers
+    std::vector<std::int16_t> placements; ///< index into data_centers
     std::map<std::uint32_t, pending_release> releases;
     std::map<std::string, std::uint32_t> planned_slots; ///< slots that the spread was made for
     std::uint64_t version = 0;                          ///< log index of the last change
@@ -43,7 +43,7 @@
 /// What the global group has promised to a data centre.
 struct hold_promise {
     std::uint64_t count = 0;               ///< committed contacts
-    std::uint64_t raised = 0;              ///< log index of the last contact that made a hold longer
+    std::uint64_t lengthened_at = 0;       ///< log index of the last contact that made a hold longer
     std::map<std::string, duration> holds; ///< by service; the longest hold that the data centre may be using
     bool operator==(const hold_promise&) const = default;
 };
@@ -54,7 +54,7 @@
     std::string service;
     std::uint64_t base_version = 0;
     std::vector<std::string> data_centers;
-    std::vector<std::int16_t> homes;
+    std::vector<std::int16_t> placements;
     std::map<std::string, std::uint32_t> planned_slots;
     std::map<std::string, std::uint64_t> contacts; ///< promise::count of the data centres that lose homes
     bool operator==(const set_placement&) const = default;
@@ -116,7 +116,7 @@
 /// From the leader of a data centre group to the leader of the global group.
 struct contact_request {
     std::string data_center;
-    std::uint64_t keeper = 0; ///< unique per keeper: a new leader gets no answers meant for the former one
+    std::uint64_t holder = 0; ///< unique per keeper: a new leader gets no answers meant for the former one
     std::uint64_t number = 0;
     std::uint64_t version = 0;             ///< committed in the data centre
     std::map<std::string, duration> holds; ///< committed in the data centre
@@ -125,7 +125,7 @@
 };
 
 struct contact_reply {
-    std::uint64_t keeper = 0;
+    std::uint64_t holder = 0;
     std::uint64_t number = 0;
     std::optional<data_center_assignment> assigned; ///< empty when the data centre has them already
     bool operator==(const contact_reply&) const = default;
@@ -190,7 +190,7 @@
     struct service_progress {
         std::optional<time_point> slots_seen_since;
         std::optional<time_point> changed_since;
-        std::uint64_t issued_for = 0; ///< service_homes::version that the last command was based on
+        std::uint64_t issued_for_version = 0; ///< service_homes::version that the last command was based on
         std::optional<time_point> issued_at;
     };
 
@@ -243,7 +243,7 @@
     time_point serve_until(const std::string& service) const;
     bool may_serve(const std::string& service, std::uint32_t shard, time_point now) const;
     /// Homes in force; shards that are to be released are not granted any more.
-    const data_center_assignment& homes() const noexcept { return committed_; }
+    const data_center_assignment& assignment() const noexcept { return committed_; }
     /// For the observers of the other instances; rounded up. Empty without a contact.
     std::optional<duration> contact_age(time_point now) const;
     std::optional<time_point> last_contact() const noexcept { return contact_; }
@@ -255,7 +255,7 @@
         std::map<std::string, duration> holds;
     };
     struct uncommitted {
-        data_center_assignment homes;
+        data_center_assignment assignment;
         time_point contact;
     };
 
@@ -267,7 +267,7 @@
     std::optional<time_point> contact_; ///< not later than the last contact that counts
     std::uint64_t last_number_ = 0;
     std::optional<time_point> next_request_;
-    std::map<std::uint64_t, sent_request> open_;
+    std::map<std::uint64_t, sent_request> open_requests_;
     std::optional<uncommitted> uncommitted_;
 };
 
--- a/src/placement/holder.cpp
+++ b/src/placement/holder.cpp
@@ -22,10 +22,10 @@
     }
     next_request_ = now + options_.contact_interval;
     contact_request result{options_.data_center, id_, ++last_number_, committed_.version, holds(), {}};
-    for (const auto& [service, share] : committed_.services) {
+    for (const auto& [service, assigned] : committed_.services) {
         const auto live = held.find(service);
         confirm_release done{service, options_.data_center, {}};
-        for (const auto& [shard, begun] : share.releasing) {
+        for (const auto& [shard, begun] : assigned.releasing) {
             if (live == held.end() || live->second.count(shard) == 0) {
                 done.begun[shard] = begun;
             }
@@ -34,23 +34,23 @@
             result.released.push_back(std::move(done));
         }
     }
-    open_[result.number] = {now, committed_.version, result.holds};
+    open_requests_[result.number] = {now, committed_.version, result.holds};
     // Replies later than this many intervals add nothing to the contacts since.
     constexpr std::size_t max_open = 64;
-    if (open_.size() > max_open) {
-        open_.erase(open_.begin());
+    if (open_requests_.size() > max_open) {
+        open_requests_.erase(open_requests_.begin());
     }
     return result;
 }
 
 std::optional<data_center_assignment> placement_holder::on_reply(const contact_reply& reply) {
-    const auto found = open_.find(reply.number);
-    if (reply.keeper != id_ || found == open_.end()) {
+    const auto found = open_requests_.find(reply.number);
+    if (reply.holder != id_ || found == open_requests_.end()) {
         return std::nullopt;
     }
     const auto request = found->second;
     // A reply overtaken by a later one could bring back a longer hold, so older requests are forgotten.
-    open_.erase(open_.begin(), std::next(found));
+    open_requests_.erase(open_requests_.begin(), std::next(found));
     if (!reply.assigned) {
         if (request.version == committed_.version && request.holds == holds()) {
             contact_ = std::max(contact_.value_or(request.sent), request.sent);
@@ -70,23 +70,23 @@
 
 void placement_holder::on_committed(const data_center_assignment& committed) {
     committed_ = committed;
-    if (uncommitted_ && uncommitted_->homes == committed) {
+    if (uncommitted_ && uncommitted_->assignment == committed) {
         contact_ = std::max(contact_.value_or(uncommitted_->contact), uncommitted_->contact);
         uncommitted_.reset();
     }
 }
 
 time_point placement_holder::serve_until(const std::string& service) const {
-    const auto share = committed_.services.find(service);
-    if (!contact_ || share == committed_.services.end()) {
+    const auto assigned = committed_.services.find(service);
+    if (!contact_ || assigned == committed_.services.end()) {
         return time_point{};
     }
-    return *contact_ + share->second.hold - drift_margin(share->second.hold);
+    return *contact_ + assigned->second.hold - drift_margin(assigned->second.hold);
 }
 
 bool placement_holder::may_serve(const std::string& service, std::uint32_t shard, time_point now) const {
-    const auto share = committed_.services.find(service);
-    return share != committed_.services.end() && share->second.shards.count(shard) != 0 &&
+    const auto assigned = committed_.services.find(service);
+    return assigned != committed_.services.end() && assigned->second.shards.count(shard) != 0 &&
            now < serve_until(service);
 }
 
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -38,7 +38,7 @@
     auto holds = wanted_holds(view);
     for (const auto& [service, hold] : promised.holds) {
         auto may_use = hold;
-        if (request.version >= promised.raised) {
+        if (request.version >= promised.lengthened_at) {
             const auto used = request.holds.find(service);
             may_use = used == request.holds.end() ? duration::zero() : std::min(used->second, hold);
         }
@@ -50,44 +50,45 @@
     return holds;
 }
 
-data_center_assignment assignment(const std::string& data_center, const planner_view& view) {
+data_center_assignment assignment_for(const std::string& data_center, const planner_view& view) {
     data_center_assignment result;
     result.version = view.state.version;
-    for (const auto& [service, homes] : view.state.services) {
+    for (const auto& [service, placement] : view.state.services) {
         const auto wanted = view.services.find(service);
-        const auto position = std::find(homes.data_centers.begin(), homes.data_centers.end(), data_center);
+        const auto position =
+            std::find(placement.data_centers.begin(), placement.data_centers.end(), data_center);
         if (wanted == view.services.end()) {
             continue;
         }
-        auto& share = result.services[service];
-        share.hold = wanted->second.hold;
-        const auto self = static_cast<std::int16_t>(position - homes.data_centers.begin());
-        for (std::uint32_t shard = 0; shard < homes.homes.size(); ++shard) {
-            if (homes.homes[shard] != self) {
+        auto& assigned = result.services[service];
+        assigned.hold = wanted->second.hold;
+        const auto self = static_cast<std::int16_t>(position - placement.data_centers.begin());
+        for (std::uint32_t shard = 0; shard < placement.placements.size(); ++shard) {
+            if (placement.placements[shard] != self) {
                 continue;
             }
-            const auto release = homes.releases.find(shard);
-            if (release == homes.releases.end()) {
-                share.shards.insert(shard);
+            const auto release = placement.releases.find(shard);
+            if (release == placement.releases.end()) {
+                assigned.shards.insert(shard);
             } else {
-                share.releasing[shard] = release->second.begun;
+                assigned.releasing[shard] = release->second.begun;
             }
         }
     }
     return result;
 }
 
-std::map<std::string, duration> holds_of(const data_center_assignment& homes) {
+std::map<std::string, duration> holds_of(const data_center_assignment& assignment) {
     std::map<std::string, duration> holds;
-    for (const auto& [service, it] : homes.services) {
+    for (const auto& [service, it] : assignment.services) {
         holds[service] = it.hold;
     }
     return holds;
 }
 
 /// Data centres with slots are added at the end: indexes of pending releases stay valid.
-std::vector<std::string> all_data_centers(const service_placement& homes, const service_view& wanted) {
-    auto names = homes.data_centers;
+std::vector<std::string> all_data_centers(const service_placement& placement, const service_view& wanted) {
+    auto names = placement.data_centers;
     for (const auto& [name, slots] : wanted.slots) {
         if (std::find(names.begin(), names.end(), name) == names.end()) {
             names.push_back(name);
@@ -97,8 +98,8 @@
 }
 
 /// Whether a data centre gained or lost more than @p part of the slots that the homes were spread for.
-bool changed(const std::map<std::string, std::uint32_t>& planned_slots,
-             const std::map<std::string, std::uint32_t>& slots, double part) {
+bool slots_changed(const std::map<std::string, std::uint32_t>& planned_slots,
+                   const std::map<std::string, std::uint32_t>& slots, double part) {
     auto names = planned_slots;
     names.insert(slots.begin(), slots.end());
     return std::any_of(names.begin(), names.end(), [&](const auto& it) {
@@ -121,10 +122,11 @@
     auto& last = last_contact_[request.data_center];
     last = std::max(last, now);
     for (const auto& it : request.released) {
-        const auto* homes = find_placement(view, it.service);
-        if (homes != nullptr && std::any_of(it.begun.begin(), it.begun.end(), [homes](const auto& shard) {
-                const auto found = homes->releases.find(shard.first);
-                return found != homes->releases.end() && found->second.begun == shard.second;
+        const auto* placement = find_placement(view, it.service);
+        if (placement != nullptr &&
+            std::any_of(it.begun.begin(), it.begun.end(), [placement](const auto& shard) {
+                const auto found = placement->releases.find(shard.first);
+                return found != placement->releases.end() && found->second.begun == shard.second;
             })) {
             result.commands.emplace_back(it);
         }
@@ -132,18 +134,18 @@
     const auto& promised = promise_of(view.state, request.data_center);
     const auto wanted = next_promise(request, promised, view);
     const auto taken_over = takeover_contact_counts_.find(request.data_center);
-    const bool must_order =
+    const bool must_commit =
         taken_over != takeover_contact_counts_.end() && promised.count <= taken_over->second;
-    if (must_order || promised.count == 0 || wanted != promised.holds) {
+    if (must_commit || promised.count == 0 || wanted != promised.holds) {
         // Without a reply until it is applied: a shorter promise that is on its way would otherwise be
         // committed after a reply that offers a longer hold.
         result.commands.emplace_back(contact{request.data_center, wanted});
         return result;
     }
-    contact_reply reply{request.keeper, request.number, {}};
-    auto homes = assignment(request.data_center, view);
-    if (request.version != homes.version || request.holds != holds_of(homes)) {
-        reply.assigned = std::move(homes);
+    contact_reply reply{request.holder, request.number, {}};
+    auto assigned = assignment_for(request.data_center, view);
+    if (request.version != assigned.version || request.holds != holds_of(assigned)) {
+        reply.assigned = std::move(assigned);
     }
     result.reply = std::move(reply);
     return result;
@@ -167,20 +169,20 @@
 std::vector<command> placement_planner::plan(const planner_view& view, time_point now) {
     std::vector<command> result;
     for (const auto& [service, it] : view.services) {
-        const auto* homes = find_placement(view, service);
-        const auto version = homes == nullptr ? 0 : homes->version;
+        const auto* placement = find_placement(view, service);
+        const auto version = placement == nullptr ? 0 : placement->version;
         auto& progress = progress_[service];
-        if (progress.issued_at && progress.issued_for == version &&
+        if (progress.issued_at && progress.issued_for_version == version &&
             now - *progress.issued_at < options_.retry_after) {
             continue;
         }
         auto change =
-            homes == nullptr ? initial_placement(service, view, now) : take_over(service, view, now);
-        if (!change && homes != nullptr) {
+            placement == nullptr ? initial_placement(service, view, now) : take_over(service, view, now);
+        if (!change && placement != nullptr) {
             change = rebalance(service, view, now);
         }
         if (change) {
-            progress.issued_for = version;
+            progress.issued_for_version = version;
             progress.issued_at = now;
             result.push_back(std::move(*change));
         }
@@ -212,7 +214,7 @@
     if (now - *progress.slots_seen_since < options_.initial_placement_delay) {
         return std::nullopt;
     }
-    change.homes =
+    change.placements =
         spread_shards(std::vector<std::int16_t>(wanted.shards, unplaced), slots,
                       std::vector<bool>(wanted.shards, true), std::vector<bool>(slots.size(), true));
     return change;
@@ -221,12 +223,12 @@
 std::optional<command> placement_planner::take_over(const std::string& service, const planner_view& view,
                                                     time_point now) {
     const auto& wanted = view.services.at(service);
-    const auto& homes = *find_placement(view, service);
+    const auto& placement = *find_placement(view, service);
     set_placement change;
     change.service = service;
-    change.base_version = homes.version;
-    change.data_centers = all_data_centers(homes, wanted);
-    auto current = homes.homes;
+    change.base_version = placement.version;
+    change.data_centers = all_data_centers(placement, wanted);
+    auto current = placement.placements;
     std::vector<std::uint32_t> slots;
     std::vector<bool> may_gain;
     for (std::size_t n = 0; n < change.data_centers.size(); ++n) {
@@ -244,8 +246,8 @@
     if (std::count(current.begin(), current.end(), unplaced) == 0) {
         return std::nullopt;
     }
-    change.homes = spread_shards(current, slots, std::vector<bool>(current.size(), false), may_gain);
-    if (change.homes == current) {
+    change.placements = spread_shards(current, slots, std::vector<bool>(current.size(), false), may_gain);
+    if (change.placements == current) {
         return std::nullopt;
     }
     for (const auto& [name, count] : change.contacts) {
@@ -257,21 +259,21 @@
 std::optional<command> placement_planner::rebalance(const std::string& service, const planner_view& view,
                                                     time_point now) {
     const auto& wanted = view.services.at(service);
-    const auto& homes = *find_placement(view, service);
+    const auto& placement = *find_placement(view, service);
     auto& progress = progress_[service];
-    const auto names = all_data_centers(homes, wanted);
+    const auto names = all_data_centers(placement, wanted);
     std::vector<std::uint32_t> slots;
     std::vector<bool> active;
     std::map<std::string, std::uint32_t> planned_slots;
     for (const auto& name : names) {
         // A data centre that is cut off keeps the slots it had; its hold decides.
-        const bool here = reachable(name, now);
-        active.push_back(here);
-        slots.push_back(here ? slots_of(wanted.slots, name) : slots_of(homes.planned_slots, name));
+        const bool in_contact = reachable(name, now);
+        active.push_back(in_contact);
+        slots.push_back(in_contact ? slots_of(wanted.slots, name) : slots_of(placement.planned_slots, name));
         planned_slots[name] = slots.back();
     }
-    if (!homes.releases.empty() ||
-        !changed(homes.planned_slots, planned_slots, options_.rebalance_threshold)) {
+    if (!placement.releases.empty() ||
+        !slots_changed(placement.planned_slots, planned_slots, options_.rebalance_threshold)) {
         progress.changed_since.reset();
         return std::nullopt;
     }
@@ -282,13 +284,13 @@
         return std::nullopt;
     }
     std::vector<bool> movable;
-    for (const auto home : homes.homes) {
+    for (const auto home : placement.placements) {
         movable.push_back(home != unplaced && active[static_cast<std::size_t>(home)]);
     }
-    const auto next = spread_shards(homes.homes, slots, movable, active);
-    begin_release change{service, homes.version, {}, std::move(planned_slots)};
+    const auto next = spread_shards(placement.placements, slots, movable, active);
+    begin_release change{service, placement.version, {}, std::move(planned_slots)};
     for (std::uint32_t shard = 0; shard < next.size(); ++shard) {
-        if (next[shard] != homes.homes[shard]) {
+        if (next[shard] != placement.placements[shard]) {
             change.next[shard] = names[static_cast<std::size_t>(next[shard])];
         }
     }
--- a/src/placement/spread_shards.cpp
+++ b/src/placement/spread_shards.cpp
@@ -9,8 +9,8 @@
 
 /// Shares of @p total in proportion to @p slots. What rounding leaves over goes to the largest remainders,
 /// and of equal ones to the data centre that has most shards, which saves moves.
-std::vector<std::int64_t> shares(std::int64_t total, const std::vector<std::uint32_t>& slots,
-                                 const std::vector<std::int64_t>& counts) {
+std::vector<std::int64_t> proportional_shares(std::int64_t total, const std::vector<std::uint32_t>& slots,
+                                              const std::vector<std::int64_t>& counts) {
     const auto sum = std::accumulate(slots.begin(), slots.end(), std::int64_t{0});
     std::vector<std::int64_t> result(slots.size());
     std::vector<std::size_t> order(slots.size());
@@ -59,8 +59,9 @@
 
 /// Shards to move: all without a home, and as many evenly spaced movable ones as a data centre has too many,
 /// at most @p room in all.
-std::vector<std::size_t> to_move(const std::vector<std::int16_t>& current, const std::vector<bool>& movable,
-                                 const std::vector<std::int64_t>& surplus, std::int64_t room) {
+std::vector<std::size_t> shards_to_move(const std::vector<std::int16_t>& current,
+                                        const std::vector<bool>& movable,
+                                        const std::vector<std::int64_t>& surplus, std::int64_t room) {
     std::vector<std::int64_t> candidates(surplus.size());
     std::vector<std::size_t> result;
     for (std::size_t shard = 0; shard < current.size(); ++shard) {
@@ -94,9 +95,9 @@
                                         const std::vector<std::uint32_t>& slots,
                                         const std::vector<bool>& movable, const std::vector<bool>& may_gain) {
     std::vector<std::int64_t> counts(slots.size());
-    std::int64_t homeless = 0;
+    std::int64_t unplaced_count = 0;
     for (const auto home : current) {
-        home == unplaced ? ++homeless : ++counts[static_cast<std::size_t>(home)];
+        home == unplaced ? ++unplaced_count : ++counts[static_cast<std::size_t>(home)];
     }
     bool any = false;
     for (std::size_t n = 0; n < slots.size(); ++n) {
@@ -105,24 +106,24 @@
     if (!any) {
         return current;
     }
-    const auto wanted = shares(static_cast<std::int64_t>(current.size()), slots, counts);
-    std::vector<std::int64_t> lacking(slots.size());
+    const auto wanted = proportional_shares(static_cast<std::int64_t>(current.size()), slots, counts);
+    std::vector<std::int64_t> deficit(slots.size());
     std::vector<std::int64_t> surplus(slots.size());
     std::int64_t room = 0;
     for (std::size_t n = 0; n < slots.size(); ++n) {
         surplus[n] = counts[n] - wanted[n];
-        lacking[n] = may_gain[n] ? std::max<std::int64_t>(wanted[n] - counts[n], 0) : 0;
-        room += lacking[n];
+        deficit[n] = may_gain[n] ? std::max<std::int64_t>(wanted[n] - counts[n], 0) : 0;
+        room += deficit[n];
     }
-    if (homeless > room) {
+    if (unplaced_count > room) {
         // Another data centre that lacks shards may gain none now, so the others take more than their share.
         for (std::size_t n = 0; n < slots.size(); ++n) {
-            lacking[n] = may_gain[n] ? lacking[n] + slots[n] : 0;
+            deficit[n] = may_gain[n] ? deficit[n] + slots[n] : 0;
         }
     }
     auto result = current;
-    interleaver targets(lacking);
-    for (const auto shard : to_move(current, movable, surplus, room)) {
+    interleaver targets(deficit);
+    for (const auto shard : shards_to_move(current, movable, surplus, room)) {
         result[shard] = targets.next();
     }
     return result;
--- a/src/placement/state.cpp
+++ b/src/placement/state.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 bool valid(const set_placement& change) {
-    return std::all_of(change.homes.begin(), change.homes.end(), [&change](std::int16_t it) {
+    return std::all_of(change.placements.begin(), change.placements.end(), [&change](std::int16_t it) {
         return it >= unplaced && it < static_cast<std::int16_t>(change.data_centers.size());
     });
 }
@@ -25,17 +25,17 @@
     if (version != change.base_version || !valid(change) || contacted_since(state, change)) {
         return false;
     }
-    service_placement next{change.data_centers, change.homes, {}, change.planned_slots, index};
+    service_placement next{change.data_centers, change.placements, {}, change.planned_slots, index};
     if (found != state.services.end()) {
         const auto& former = found->second;
         // Indexes of pending releases stay valid only because a list of data centres is only ever extended.
-        if (former.homes.size() != next.homes.size() ||
+        if (former.placements.size() != next.placements.size() ||
             former.data_centers.size() > next.data_centers.size() ||
             !std::equal(former.data_centers.begin(), former.data_centers.end(), next.data_centers.begin())) {
             return false;
         }
         for (const auto& [shard, release] : former.releases) {
-            if (former.homes[shard] == next.homes[shard]) {
+            if (former.placements[shard] == next.placements[shard]) {
                 next.releases[shard] = release;
             }
         }
@@ -44,11 +44,11 @@
     return true;
 }
 
-std::int16_t index_of(service_placement& homes, const std::string& data_center) {
-    const auto found = std::find(homes.data_centers.begin(), homes.data_centers.end(), data_center);
-    const auto position = found - homes.data_centers.begin();
-    if (found == homes.data_centers.end()) {
-        homes.data_centers.push_back(data_center);
+std::int16_t index_of(service_placement& placement, const std::string& data_center) {
+    const auto found = std::find(placement.data_centers.begin(), placement.data_centers.end(), data_center);
+    const auto position = found - placement.data_centers.begin();
+    if (found == placement.data_centers.end()) {
+        placement.data_centers.push_back(data_center);
     }
     return static_cast<std::int16_t>(position);
 }
@@ -58,20 +58,20 @@
     if (found == state.services.end() || found->second.version != change.base_version) {
         return false;
     }
-    auto& homes = found->second;
+    auto& placement = found->second;
     for (const auto& [shard, data_center] : change.next) {
-        if (shard >= homes.homes.size() || homes.releases.count(shard) != 0) {
+        if (shard >= placement.placements.size() || placement.releases.count(shard) != 0) {
             continue;
         }
-        const auto next = index_of(homes, data_center);
-        if (homes.homes[shard] == unplaced) {
-            homes.homes[shard] = next;
-        } else if (homes.homes[shard] != next) {
-            homes.releases[shard] = {next, index};
+        const auto next = index_of(placement, data_center);
+        if (placement.placements[shard] == unplaced) {
+            placement.placements[shard] = next;
+        } else if (placement.placements[shard] != next) {
+            placement.releases[shard] = {next, index};
         }
     }
-    homes.planned_slots = change.planned_slots;
-    homes.version = index;
+    placement.planned_slots = change.planned_slots;
+    placement.version = index;
     return true;
 }
 
@@ -80,20 +80,21 @@
     if (found == state.services.end()) {
         return false;
     }
-    auto& homes = found->second;
+    auto& placement = found->second;
     bool changed = false;
     for (const auto& [shard, begun] : change.begun) {
-        const auto release = homes.releases.find(shard);
-        if (release == homes.releases.end() || release->second.begun != begun ||
-            homes.data_centers.at(static_cast<std::size_t>(homes.homes[shard])) != change.data_center) {
+        const auto release = placement.releases.find(shard);
+        if (release == placement.releases.end() || release->second.begun != begun ||
+            placement.data_centers.at(static_cast<std::size_t>(placement.placements[shard])) !=
+                change.data_center) {
             continue;
         }
-        homes.homes[shard] = release->second.next;
-        homes.releases.erase(release);
+        placement.placements[shard] = release->second.next;
+        placement.releases.erase(release);
         changed = true;
     }
     if (changed) {
-        homes.version = index;
+        placement.version = index;
     }
     return changed;
 }
@@ -106,7 +107,7 @@
         return former == it.holds.end() || hold.second > former->second;
     });
     if (longer) {
-        it.raised = index;
+        it.lengthened_at = index;
     }
     it.holds = change.holds;
     return true;
--- a/tests/placement/holder_test.cpp
+++ b/tests/placement/holder_test.cpp
@@ -22,67 +22,67 @@
 } // namespace
 
 TEST_CASE("a keeper serves its homes from a contact until the hold has run out") {
-    placement_holder keeper({"a"}, 7, {}, std::nullopt);
-    const auto first = keeper.poll({}, start);
+    placement_holder holder({"a"}, 7, {}, std::nullopt);
+    const auto first = holder.poll({}, start);
     REQUIRE(first);
-    CHECK_FALSE(keeper.poll({}, start + std::chrono::milliseconds(499)));
+    CHECK_FALSE(holder.poll({}, start + std::chrono::milliseconds(499)));
     SUBCASE("homes take effect once the group has committed them") {
-        const auto homes = keeper.on_reply({7, first->number, record(5, {1, 2})});
-        REQUIRE(homes);
-        CHECK_FALSE(keeper.may_serve(service, 1, start + s(1)));
-        keeper.on_committed(*homes);
-        CHECK(keeper.may_serve(service, 1, start + s(1)));
-        CHECK_FALSE(keeper.may_serve(service, 3, start + s(1)));
+        const auto assignment = holder.on_reply({7, first->number, record(5, {1, 2})});
+        REQUIRE(assignment);
+        CHECK_FALSE(holder.may_serve(service, 1, start + s(1)));
+        holder.on_committed(*assignment);
+        CHECK(holder.may_serve(service, 1, start + s(1)));
+        CHECK_FALSE(holder.may_serve(service, 3, start + s(1)));
     }
     SUBCASE("the hold counts from the request, not from the reply or the commit") {
-        keeper.on_committed(*keeper.on_reply({7, first->number, record(5, {1})}));
-        CHECK(keeper.serve_until(service) == start + s(60) - drift_margin(s(60)));
-        CHECK(keeper.may_serve(service, 1, start + s(59)));
-        CHECK_FALSE(keeper.may_serve(service, 1, start + s(60)));
-        const auto second = keeper.poll({}, start + s(70));
-        CHECK_FALSE(keeper.on_reply({7, second->number, {}}));
-        CHECK(keeper.may_serve(service, 1, start + s(71)));
+        holder.on_committed(*holder.on_reply({7, first->number, record(5, {1})}));
+        CHECK(holder.serve_until(service) == start + s(60) - drift_margin(s(60)));
+        CHECK(holder.may_serve(service, 1, start + s(59)));
+        CHECK_FALSE(holder.may_serve(service, 1, start + s(60)));
+        const auto second = holder.poll({}, start + s(70));
+        CHECK_FALSE(holder.on_reply({7, second->number, {}}));
+        CHECK(holder.may_serve(service, 1, start + s(71)));
     }
     SUBCASE("replies to a former leader, unknown replies and repeated ones count for nothing") {
-        CHECK_FALSE(keeper.on_reply({6, first->number, record(5, {1})}));
-        CHECK_FALSE(keeper.on_reply({7, first->number + 1, record(5, {1})}));
-        CHECK(keeper.on_reply({7, first->number, record(5, {1})}));
-        CHECK_FALSE(keeper.on_reply({7, first->number, record(5, {1})}));
+        CHECK_FALSE(holder.on_reply({6, first->number, record(5, {1})}));
+        CHECK_FALSE(holder.on_reply({7, first->number + 1, record(5, {1})}));
+        CHECK(holder.on_reply({7, first->number, record(5, {1})}));
+        CHECK_FALSE(holder.on_reply({7, first->number, record(5, {1})}));
     }
     SUBCASE("a reply overtaken by a later one counts for nothing") {
-        const auto second = keeper.poll({}, start + s(1));
-        keeper.on_committed(*keeper.on_reply({7, second->number, record(6, {2}, {}, s(5))}));
-        CHECK_FALSE(keeper.on_reply({7, first->number, record(6, {2}, {}, s(600))}));
-        CHECK(keeper.serve_until(service) == start + s(6) - drift_margin(s(5)));
+        const auto second = holder.poll({}, start + s(1));
+        holder.on_committed(*holder.on_reply({7, second->number, record(6, {2}, {}, s(5))}));
+        CHECK_FALSE(holder.on_reply({7, first->number, record(6, {2}, {}, s(600))}));
+        CHECK(holder.serve_until(service) == start + s(6) - drift_margin(s(5)));
     }
     SUBCASE("homes older than the committed ones are refused") {
-        keeper.on_committed(record(6, {2}));
-        CHECK_FALSE(keeper.on_reply({7, first->number, record(5, {1})}));
-        CHECK_FALSE(keeper.last_contact());
+        holder.on_committed(record(6, {2}));
+        CHECK_FALSE(holder.on_reply({7, first->number, record(5, {1})}));
+        CHECK_FALSE(holder.last_contact());
     }
     SUBCASE("a reply without homes counts only for the homes that the request stated") {
-        const auto second = keeper.poll({}, start + s(1));
-        keeper.on_committed(record(6, {2}));
-        CHECK_FALSE(keeper.on_reply({7, second->number, {}}));
-        CHECK_FALSE(keeper.last_contact());
+        const auto second = holder.poll({}, start + s(1));
+        holder.on_committed(record(6, {2}));
+        CHECK_FALSE(holder.on_reply({7, second->number, {}}));
+        CHECK_FALSE(holder.last_contact());
     }
 }
 
 TEST_CASE("a keeper confirms a release once nothing holds the shard") {
-    placement_holder keeper({"a"}, 7, record(9, {1}, {{2, 8}, {3, 9}}), start);
-    CHECK_FALSE(keeper.may_serve(service, 2, start));
-    const auto request = keeper.poll({{service, {1, 3}}}, start);
+    placement_holder holder({"a"}, 7, record(9, {1}, {{2, 8}, {3, 9}}), start);
+    CHECK_FALSE(holder.may_serve(service, 2, start));
+    const auto request = holder.poll({{service, {1, 3}}}, start);
     REQUIRE(request->released.size() == 1);
     CHECK(request->released[0] == confirm_release{service, "a", {{2, 8}}});
     // Repeated until the new homes arrive, so a lost request does no harm.
-    CHECK(keeper.poll({}, start + s(1))->released[0].begun.size() == 2);
+    CHECK(holder.poll({}, start + s(1))->released[0].begun.size() == 2);
 }
 
 TEST_CASE("a new leader of a data centre does not extend the hold") {
     SUBCASE("without a known contact it serves nothing") {
-        const placement_holder keeper({"a"}, 8, record(5, {1}), std::nullopt);
-        CHECK_FALSE(keeper.may_serve(service, 1, start));
-        CHECK_FALSE(keeper.contact_age(start));
+        const placement_holder holder({"a"}, 8, record(5, {1}), std::nullopt);
+        CHECK_FALSE(holder.may_serve(service, 1, start));
+        CHECK_FALSE(holder.contact_age(start));
     }
     SUBCASE("the observed contact is not later than the real one, whatever the delay of the answer") {
         placement_holder former({"a"}, 7, record(5, {1}), start);
--- a/tests/placement/planner_test.cpp
+++ b/tests/placement/planner_test.cpp
@@ -51,9 +51,9 @@
             apply_all(planner.plan(view(), at));
         }
     }
-    std::int64_t homes_of(const std::string& name) const {
+    std::int64_t shards_placed_in(const std::string& name) const {
         const auto& it = state.services.at(service);
-        return std::count_if(it.homes.begin(), it.homes.end(), [&](auto home) {
+        return std::count_if(it.placements.begin(), it.placements.end(), [&](auto home) {
             return home != unplaced && it.data_centers[static_cast<std::size_t>(home)] == name;
         });
     }
@@ -63,9 +63,9 @@
     return std::vector<std::int16_t>(shards, unplaced);
 }
 
-std::vector<std::int64_t> counts(const std::vector<std::int16_t>& homes, std::size_t data_centers) {
+std::vector<std::int64_t> counts(const std::vector<std::int16_t>& placement, std::size_t data_centers) {
     std::vector<std::int64_t> result(data_centers);
-    for (const auto it : homes) {
+    for (const auto it : placement) {
         ++result.at(static_cast<std::size_t>(it));
     }
     return result;
@@ -122,7 +122,7 @@
     leader it;
     const auto formed = start + s(10);
     it.form(formed);
-    REQUIRE(it.homes_of("a") == 4);
+    REQUIRE(it.shards_placed_in("a") == 4);
     const auto silent_until = [&it](time_point now) {
         it.contact("a", now);
         it.contact("b", now);
@@ -132,8 +132,8 @@
         CHECK(silent_until(formed + s(60)).empty());
         CHECK(silent_until(formed + s(60) + drift_margin(s(60))).empty());
         it.apply_all(silent_until(formed + s(61)));
-        CHECK(it.homes_of("c") == 0);
-        CHECK(it.homes_of("a") == 6);
+        CHECK(it.shards_placed_in("c") == 0);
+        CHECK(it.shards_placed_in("a") == 6);
     }
     SUBCASE("a newly elected leader counts the hold from its election") {
         const auto elected = formed + s(50);
@@ -162,7 +162,7 @@
         SUBCASE("the contact commits first: the move is refused") {
             it.apply_all(effects.commands);
             CHECK_FALSE(it.apply(move[0]));
-            CHECK(it.homes_of("c") == 4);
+            CHECK(it.shards_placed_in("c") == 4);
         }
     }
     SUBCASE("a hold that was promised before it was shortened still counts") {
@@ -182,7 +182,7 @@
         it.hold = s(600);
         it.contact("c", formed);
         it.hold = s(60);
-        const auto old = it.state.promises.at("c").raised - 1;
+        const auto old = it.state.promises.at("c").lengthened_at - 1;
         it.apply_all(it.ask("c", formed, old, {{service, s(60)}}).commands);
         CHECK(it.state.promises.at("c").holds.at(service) == s(600));
         it.apply_all(it.ask("c", formed, it.state.version, {{service, s(60)}}).commands);
@@ -222,15 +222,15 @@
         run(s(1), s(700));
         REQUIRE(issued.size() == 1);
         it.apply_all(issued);
-        const auto& homes = it.state.services.at(service);
-        const auto releases = homes.releases;
+        const auto& placement = it.state.services.at(service);
+        const auto releases = placement.releases;
         REQUIRE(releases.size() == 2);
-        CHECK(it.homes_of("a") == 4);
+        CHECK(it.shards_placed_in("a") == 4);
         const auto [shard, release] = *releases.begin();
         CHECK_FALSE(it.apply(confirm_release{service, "a", {{shard, release.begun - 1}}}));
         CHECK_FALSE(it.apply(confirm_release{service, "b", {{shard, release.begun}}}));
         CHECK(it.apply(confirm_release{service, "a", {{shard, release.begun}}}));
-        CHECK(it.homes_of("a") == 3);
+        CHECK(it.shards_placed_in("a") == 3);
         CHECK_FALSE(it.apply(confirm_release{service, "a", {{shard, release.begun}}}));
     }
 }
--- a/tests/placement/scenario_test.cpp
+++ b/tests/placement/scenario_test.cpp
@@ -12,13 +12,13 @@
 constexpr std::uint64_t seeds_per_scenario = 8;
 
 /// Interprets the steps of tests/scenarios/placement_*.toml.
-class player {
+class scenario_runner {
 public:
-    player(const kingcupseam::test::scenario& script, std::uint64_t seed, faults broken)
-        : script_(script), simulation_(options_of(script, seed, broken)) {}
+    scenario_runner(const kingcupseam::test::scenario& script, std::uint64_t seed, faults injected)
+        : script_(script), simulation_(options_of(script, seed, injected)) {}
 
     /// @param expect whether the expect_* steps are checked; a broken variant may miss them
-    const simulation& play(bool expect) {
+    const simulation& run_steps(bool expect) {
         for (const auto& it : script_.steps) {
             CAPTURE(it.verb);
             if (it.verb.rfind("expect_", 0) != 0) {
@@ -32,7 +32,7 @@
 
 private:
     static simulation_options options_of(const kingcupseam::test::scenario& script, std::uint64_t seed,
-                                         faults broken) {
+                                         faults injected) {
         simulation_options options;
         options.seed = seed;
         options.loss = toml::find_or(script.setup, "loss", options.loss);
@@ -44,7 +44,7 @@
             std::chrono::seconds(toml::find_or(script.setup, "respread_delay_s", std::int64_t{30}));
         options.held_back_for =
             std::chrono::milliseconds(toml::find_or(script.setup, "held_back_ms", std::int64_t{3000}));
-        options.broken = broken;
+        options.injected = injected;
         return options;
     }
 
@@ -67,7 +67,7 @@
         } else if (it.verb == "lose") {
             simulation_.lose(name);
         } else if (it.verb == "bring_back") {
-            simulation_.bring_back(name);
+            simulation_.restore(name);
         } else if (it.verb == "slots") {
             simulation_.set_slots(name, static_cast<std::uint32_t>(it.number("count")));
         } else if (it.verb == "hold") {
@@ -92,7 +92,7 @@
         const auto count = it.number("count");
         CAPTURE(name);
         if (it.verb == "expect_homes") {
-            CHECK(simulation_.homes_of(name) == count);
+            CHECK(simulation_.shards_placed_in(name) == count);
         } else if (it.verb == "expect_served") {
             CHECK(simulation_.served_by(name) == count);
         } else if (it.verb == "expect_releasing") {
@@ -113,11 +113,11 @@
                                             ".toml");
 }
 
-bool detects(const std::string& name, faults broken) {
+bool detects(const std::string& name, faults injected) {
     const auto script = load(name);
     for (std::uint64_t seed = script.seed; seed < script.seed + 4 * seeds_per_scenario; ++seed) {
-        player it(script, seed, broken);
-        if (!it.play(false).violations().empty()) {
+        scenario_runner it(script, seed, injected);
+        if (!it.run_steps(false).violations().empty()) {
             return true;
         }
     }
@@ -133,8 +133,8 @@
         CAPTURE(script.guards);
         for (std::uint64_t seed = script.seed; seed < script.seed + seeds_per_scenario; ++seed) {
             CAPTURE(seed);
-            player it(script, seed, {});
-            for (const auto& violation : it.play(true).violations()) {
+            scenario_runner it(script, seed, {});
+            for (const auto& violation : it.run_steps(true).violations()) {
                 FAIL_CHECK(violation);
             }
         }
@@ -152,18 +152,18 @@
         CHECK(detects("cut_longer_than_hold", {.serve_after_hold = true}));
     }
     SUBCASE("a new leader of a data centre that forgets the last contact") {
-        CHECK(detects("leader_changes_during_cut", {.forgetful_keeper = true}));
+        CHECK(detects("leader_changes_during_cut", {.contact_at_election = true}));
     }
     SUBCASE("a new global leader that takes the hold as run out") {
-        CHECK(detects("global_leader_changes_during_cut", {.forgetful_planner = true}));
+        CHECK(detects("global_leader_changes_during_cut", {.holds_expired_at_election = true}));
     }
     SUBCASE("a release confirmed while grants may be live") {
-        CHECK(detects("joining_data_center", {.confirm_at_once = true}));
+        CHECK(detects("joining_data_center", {.confirm_with_live_grants = true}));
     }
     SUBCASE("a confirmation of an earlier release") {
-        CHECK(detects("back_and_forth", {.any_confirmation = true}));
+        CHECK(detects("back_and_forth", {.confirm_any_release = true}));
     }
     SUBCASE("a new leader of a data centre that knows only old homes") {
-        CHECK(detects("leader_changes_after_release", {.old_homes_at_election = true}));
+        CHECK(detects("leader_changes_after_release", {.stale_assignment_at_election = true}));
     }
 }
--- a/tests/placement/simulation.cpp
+++ b/tests/placement/simulation.cpp
@@ -17,12 +17,12 @@
 
 } // namespace
 
-time_point simulation::clock::at(time_point now) const {
+time_point simulation::clock::local_time(time_point now) const {
     const auto length = static_cast<double>(now.time_since_epoch().count());
     return time_point(duration(static_cast<std::int64_t>(length * rate))) + offset;
 }
 
-time_point simulation::clock::back(time_point local) const {
+time_point simulation::clock::true_time(time_point local) const {
     const auto length = static_cast<double>((local - offset).time_since_epoch().count());
     return time_point(duration(static_cast<std::int64_t>(length / rate)));
 }
@@ -40,7 +40,7 @@
 }
 
 void simulation::add_data_center(const std::string& name, std::uint32_t slots) {
-    auto& it = centers_[name];
+    auto& it = data_centers_[name];
     it.name = name;
     it.slots = slots;
     it.global_voter = random_clock();
@@ -51,19 +51,19 @@
 }
 
 void simulation::lose(const std::string& name) {
-    auto& it = centers_.at(name);
+    auto& it = data_centers_.at(name);
     it.alive = false;
-    it.keeper.reset();
+    it.holder.reset();
     it.election_at.reset();
     it.grants.clear();
     ++it.term;
 }
 
-void simulation::bring_back(const std::string& name) {
-    auto& it = centers_.at(name);
+void simulation::restore(const std::string& name) {
+    auto& it = data_centers_.at(name);
     it.alive = true;
     it.committed = {};
-    it.most_homes = {};
+    it.largest_assignment = {};
     for (auto& member : it.voters) {
         member.observer = {};
     }
@@ -71,8 +71,8 @@
 }
 
 void simulation::change_leader(const std::string& data_center) {
-    auto& it = centers_.at(data_center);
-    it.keeper.reset();
+    auto& it = data_centers_.at(data_center);
+    it.holder.reset();
     ++it.term;
     it.leader = (it.leader + 1) % it.voters.size();
     it.election_at = now_ + election;
@@ -89,23 +89,23 @@
     options_.held_back = held_back;
 }
 
-bool simulation::linked(const std::string& a, const std::string& b) const {
-    const auto both = centers_.at(a).alive && centers_.at(b).alive;
+bool simulation::connected(const std::string& a, const std::string& b) const {
+    const auto both = data_centers_.at(a).alive && data_centers_.at(b).alive;
     return both && cuts_.count({std::min(a, b), std::max(a, b)}) == 0;
 }
 
-bool simulation::majority(const std::string& name) const {
-    const auto reached = std::count_if(centers_.begin(), centers_.end(),
-                                       [&](const auto& it) { return linked(name, it.first); });
-    return static_cast<std::size_t>(reached) > centers_.size() / 2;
+bool simulation::reaches_majority(const std::string& name) const {
+    const auto reached = std::count_if(data_centers_.begin(), data_centers_.end(),
+                                       [&](const auto& it) { return connected(name, it.first); });
+    return static_cast<std::size_t>(reached) > data_centers_.size() / 2;
 }
 
-void simulation::after(duration delay, std::function<void()> action) {
+void simulation::schedule(duration delay, std::function<void()> action) {
     network_.emplace(now_ + delay, delivery{"", "", std::move(action)});
 }
 
 void simulation::send(const std::string& from, const std::string& to, std::function<void()> action) {
-    if (!linked(from, to) || (from != to && (muted_.count(from) != 0 || chance(options_.loss)))) {
+    if (!connected(from, to) || (from != to && (muted_.count(from) != 0 || chance(options_.loss)))) {
         return;
     }
     const auto longest = chance(options_.held_back) ? std::max(options_.held_back_for, options_.max_delay)
@@ -115,8 +115,8 @@
 
 planner_view simulation::view() const {
     service_view wanted{options_.shards, options_.hold, mirrored_slots_};
-    const auto& local = centers_.at(global_leader_).global_voter;
-    return {state_, {{service, wanted}}, local.at(last_quorum_ + leadership)};
+    const auto& local = data_centers_.at(global_leader_).global_voter;
+    return {state_, {{service, wanted}}, local.local_time(last_quorum_ + leadership)};
 }
 
 void simulation::run(duration length) {
@@ -130,19 +130,19 @@
     while (!network_.empty() && network_.begin()->first <= now_) {
         const auto it = std::move(network_.begin()->second);
         network_.erase(network_.begin());
-        if (it.to.empty() || linked(it.from, it.to)) {
+        if (it.to.empty() || connected(it.from, it.to)) {
             it.action();
         }
     }
     step_global();
-    for (auto& [name, it] : centers_) {
-        step_center(it);
+    for (auto& [name, it] : data_centers_) {
+        step_data_center(it);
     }
     check();
 }
 
 void simulation::step_global() {
-    if (planner_ && majority(global_leader_)) {
+    if (planner_ && reaches_majority(global_leader_)) {
         last_quorum_ = now_;
     }
     if (now_ - last_quorum_ > election) {
@@ -153,13 +153,13 @@
         return;
     }
     next_plan_ = now_ + ms(500);
-    for (const auto& [name, it] : centers_) {
-        if (linked(global_leader_, name)) {
+    for (const auto& [name, it] : data_centers_) {
+        if (connected(global_leader_, name)) {
             mirrored_slots_[name] = it.slots;
         }
     }
-    auto local = centers_.at(global_leader_).global_voter.at(now_);
-    if (options_.broken.no_drift_margin) {
+    auto local = data_centers_.at(global_leader_).global_voter.local_time(now_);
+    if (options_.injected.no_drift_margin) {
         local += drift_margin(options_.hold);
     }
     for (const auto& change : planner_->plan(view(), local)) {
@@ -169,8 +169,8 @@
 
 void simulation::elect_global() {
     std::vector<std::string> candidates;
-    for (const auto& [name, it] : centers_) {
-        if (majority(name)) {
+    for (const auto& [name, it] : data_centers_) {
+        if (reaches_majority(name)) {
             candidates.push_back(name);
         }
     }
@@ -181,8 +181,8 @@
         candidates[std::uniform_int_distribution<std::size_t>(0, candidates.size() - 1)(random_)];
     ++global_term_;
     last_quorum_ = now_;
-    auto elected = centers_.at(global_leader_).global_voter.at(now_);
-    if (options_.broken.forgetful_planner) {
+    auto elected = data_centers_.at(global_leader_).global_voter.local_time(now_);
+    if (options_.injected.holds_expired_at_election) {
         elected -= options_.hold * 2;
     }
     planner_ = std::make_unique<placement_planner>(options_.planning, elected);
@@ -192,8 +192,8 @@
     // Commands of one leader are committed in order; a leader without a majority commits nothing. Between two
     // leaders half of the commands are in the log of the next one, which commits them before its first own
     // entry.
-    after(ms(20), [this, change, term = global_term_] {
-        if (term == global_term_ && (planner_ ? majority(global_leader_) : chance(0.5))) {
+    schedule(ms(20), [this, change, term = global_term_] {
+        if (term == global_term_ && (planner_ ? reaches_majority(global_leader_) : chance(0.5))) {
             apply(change);
         }
     });
@@ -205,58 +205,58 @@
     const auto old = before.services.find(service);
     if (old != before.services.end()) {
         const auto& next = state_.services.at(service);
-        for (std::size_t n = 0; n < next.homes.size(); ++n) {
-            moves_ += next.homes[n] == old->second.homes[n] ? 0 : 1;
+        for (std::size_t n = 0; n < next.placements.size(); ++n) {
+            moves_ += next.placements[n] == old->second.placements[n] ? 0 : 1;
         }
     }
 }
 
-void simulation::start_keeper(center& it) {
+void simulation::start_holder(data_center_model& it) {
     it.election_at.reset();
     ++it.term;
     auto contact = it.voters[it.leader].observer.last_contact();
-    if (options_.broken.forgetful_keeper) {
-        contact = it.voters[it.leader].local.at(now_);
+    if (options_.injected.contact_at_election) {
+        contact = it.voters[it.leader].local.local_time(now_);
     }
-    if (options_.broken.old_homes_at_election) {
-        it.committed = it.most_homes;
+    if (options_.injected.stale_assignment_at_election) {
+        it.committed = it.largest_assignment;
     }
     it.receipt_error = {};
     it.sent.clear();
-    it.keeper = std::make_unique<placement_holder>(holder_options{it.name}, it.term, it.committed, contact);
+    it.holder = std::make_unique<placement_holder>(holder_options{it.name}, it.term, it.committed, contact);
 }
 
-void simulation::step_center(center& it) {
+void simulation::step_data_center(data_center_model& it) {
     if (!it.alive) {
         return;
     }
     if (it.election_at && now_ >= *it.election_at) {
-        start_keeper(it);
+        start_holder(it);
     }
-    if (!it.keeper) {
+    if (!it.holder) {
         return;
     }
-    contact_leader(it);
+    send_contact(it);
     grant(it);
-    if (now_ < it.next_question) {
+    if (now_ < it.next_age_query) {
         return;
     }
-    it.next_question = now_ + ms(150);
+    it.next_age_query = now_ + ms(150);
     for (auto& member : it.voters) {
         // The answer takes a while each way.
-        const auto asked = member.local.at(now_ - random_duration(options_.max_delay));
-        const auto age = it.keeper->contact_age(it.voters[it.leader].local.at(now_));
+        const auto asked = member.local.local_time(now_ - random_duration(options_.max_delay));
+        const auto age = it.holder->contact_age(it.voters[it.leader].local.local_time(now_));
         if (age && !chance(options_.loss)) {
             member.observer.on_contact_age(asked, *age);
         }
     }
 }
 
-shard_sets simulation::held(const center& it) const {
+shard_sets simulation::held_shards(const data_center_model& it) const {
     shard_sets result;
-    const auto share = it.committed.services.find(service);
-    if (share != it.committed.services.end()) {
-        result[service] = share->second.shards;
+    const auto assigned = it.committed.services.find(service);
+    if (assigned != it.committed.services.end()) {
+        result[service] = assigned->second.shards;
     }
     for (const auto& [shard, end] : it.grants) {
         if (end > now_) {
@@ -266,24 +266,25 @@
     return result;
 }
 
-void simulation::contact_leader(center& it) {
-    const auto local = it.voters[it.leader].local.at(now_);
-    const auto request = it.keeper->poll(options_.broken.confirm_at_once ? shard_sets{} : held(it), local);
+void simulation::send_contact(data_center_model& it) {
+    const auto local = it.voters[it.leader].local.local_time(now_);
+    const auto request =
+        it.holder->poll(options_.injected.confirm_with_live_grants ? shard_sets{} : held_shards(it), local);
     if (!request) {
         return;
     }
     it.sent[request->number] = now_;
     if (planner_ && !(lose_confirmations_ && !request->released.empty())) {
-        send(it.name, global_leader_, [this, request = *request] { receive_request(request); });
+        send(it.name, global_leader_, [this, request = *request] { receive_contact(request); });
     }
 }
 
-void simulation::receive_request(const contact_request& sent) {
+void simulation::receive_contact(const contact_request& sent) {
     if (!planner_) {
         return;
     }
     auto request = sent;
-    if (options_.broken.any_confirmation && state_.services.count(service) != 0) {
+    if (options_.injected.confirm_any_release && state_.services.count(service) != 0) {
         for (auto& done : request.released) {
             for (auto& [shard, begun] : done.begun) {
                 const auto& releases = state_.services.at(service).releases;
@@ -292,7 +293,7 @@
             }
         }
     }
-    const auto local = centers_.at(global_leader_).global_voter.at(now_);
+    const auto local = data_centers_.at(global_leader_).global_voter.local_time(now_);
     const auto result = planner_->on_contact(request, view(), local);
     for (const auto& change : result.commands) {
         propose(change);
@@ -304,52 +305,52 @@
 }
 
 void simulation::receive_reply(const std::string& name, const contact_reply& reply) {
-    auto& it = centers_.at(name);
-    if (!it.keeper) {
+    auto& it = data_centers_.at(name);
+    if (!it.holder) {
         return;
     }
-    const auto before = it.keeper->last_contact();
-    const auto homes = it.keeper->on_reply(reply);
-    if (options_.broken.hold_from_receipt && it.keeper->last_contact() != before) {
+    const auto before = it.holder->last_contact();
+    const auto assignment = it.holder->on_reply(reply);
+    if (options_.injected.hold_from_receipt && it.holder->last_contact() != before) {
         it.receipt_error = now_ - it.sent[reply.number];
     }
-    if (!homes) {
+    if (!assignment) {
         return;
     }
-    after(random_duration(ms(20)), [this, &it, homes = *homes, term = it.term] {
+    schedule(random_duration(ms(20)), [this, &it, assignment = *assignment, term = it.term] {
         // Half of the entries of a former leader are lost.
-        if (!it.alive || homes.version < it.committed.version || (term != it.term && chance(0.5))) {
+        if (!it.alive || assignment.version < it.committed.version || (term != it.term && chance(0.5))) {
             return;
         }
         const auto shards = [](const data_center_assignment& record) {
-            const auto share = record.services.find(service);
-            return share == record.services.end() ? 0 : share->second.shards.size();
+            const auto assigned = record.services.find(service);
+            return assigned == record.services.end() ? 0 : assigned->second.shards.size();
         };
-        if (shards(homes) >= shards(it.most_homes)) {
-            it.most_homes = homes;
+        if (shards(assignment) >= shards(it.largest_assignment)) {
+            it.largest_assignment = assignment;
         }
-        it.committed = homes;
-        if (it.keeper) {
-            it.keeper->on_committed(homes);
+        it.committed = assignment;
+        if (it.holder) {
+            it.holder->on_committed(assignment);
         }
     });
 }
 
-void simulation::grant(center& it) {
+void simulation::grant(data_center_model& it) {
     const auto& local = it.voters[it.leader].local;
-    auto limit = it.keeper->serve_until(service);
+    auto limit = it.holder->serve_until(service);
     if (limit == time_point{}) {
         return;
     }
-    limit += options_.broken.hold_from_receipt ? it.receipt_error : duration::zero();
-    limit += options_.broken.no_drift_margin ? drift_margin(options_.hold) : duration::zero();
-    limit = options_.broken.serve_after_hold ? local.at(now_ + lease) : limit;
-    const auto end = std::min(local.back(limit), now_ + lease);
-    const auto share = it.keeper->homes().services.find(service);
-    if (end <= now_ || share == it.keeper->homes().services.end()) {
+    limit += options_.injected.hold_from_receipt ? it.receipt_error : duration::zero();
+    limit += options_.injected.no_drift_margin ? drift_margin(options_.hold) : duration::zero();
+    limit = options_.injected.serve_after_hold ? local.local_time(now_ + lease) : limit;
+    const auto end = std::min(local.true_time(limit), now_ + lease);
+    const auto assigned = it.holder->assignment().services.find(service);
+    if (end <= now_ || assigned == it.holder->assignment().services.end()) {
         return;
     }
-    for (const auto shard : share->second.shards) {
+    for (const auto shard : assigned->second.shards) {
         auto& until = it.grants[shard];
         until = std::max(until, end);
     }
@@ -359,7 +360,7 @@
     for (std::uint32_t shard = 0; shard < options_.shards; ++shard) {
         std::string holders;
         int count = 0;
-        for (const auto& [name, it] : centers_) {
+        for (const auto& [name, it] : data_centers_) {
             const auto found = it.grants.find(shard);
             if (found != it.grants.end() && found->second > now_) {
                 holders += " " + name;
@@ -373,19 +374,20 @@
     }
 }
 
-std::uint32_t simulation::homes_of(const std::string& name) const {
+std::uint32_t simulation::shards_placed_in(const std::string& name) const {
     const auto found = state_.services.find(service);
     if (found == state_.services.end()) {
         return 0;
     }
-    const auto& homes = found->second;
-    return static_cast<std::uint32_t>(std::count_if(homes.homes.begin(), homes.homes.end(), [&](auto it) {
-        return it != unplaced && homes.data_centers[static_cast<std::size_t>(it)] == name;
-    }));
+    const auto& placement = found->second;
+    return static_cast<std::uint32_t>(
+        std::count_if(placement.placements.begin(), placement.placements.end(), [&](auto it) {
+            return it != unplaced && placement.data_centers[static_cast<std::size_t>(it)] == name;
+        }));
 }
 
 std::uint32_t simulation::served_by(const std::string& name) const {
-    const auto& grants = centers_.at(name).grants;
+    const auto& grants = data_centers_.at(name).grants;
     return static_cast<std::uint32_t>(
         std::count_if(grants.begin(), grants.end(), [this](const auto& it) { return it.second > now_; }));
 }
--- a/tests/placement/simulation.h
+++ b/tests/placement/simulation.h
@@ -11,14 +11,14 @@
 
 /// Deliberate faults. Each must be found by the check of the world; the code under test has no such switches.
 struct faults {
-    bool hold_from_receipt = false;     ///< the data centre counts the hold from the receipt of the reply
-    bool no_drift_margin = false;       ///< neither side keeps a margin
-    bool forgetful_keeper = false;      ///< a new leader of a data centre takes its election as a contact
-    bool forgetful_planner = false;     ///< a new global leader takes every hold as run out
-    bool confirm_at_once = false;       ///< a release is confirmed while grants may be live
-    bool any_confirmation = false;      ///< a confirmation of an earlier release counts for the present one
-    bool serve_after_hold = false;      ///< the data centre keeps its homes without contact
-    bool old_homes_at_election = false; ///< a new leader of a data centre does not know its last homes
+    bool hold_from_receipt = false;         ///< the data centre counts the hold from the receipt of the reply
+    bool no_drift_margin = false;           ///< neither side keeps a margin
+    bool contact_at_election = false;       ///< a new leader of a data centre takes its election as a contact
+    bool holds_expired_at_election = false; ///< a new global leader takes every hold as run out
+    bool confirm_with_live_grants = false;  ///< a release is confirmed while grants may be live
+    bool confirm_any_release = false; ///< a confirmation of an earlier release counts for the present one
+    bool serve_after_hold = false;    ///< the data centre keeps its homes without contact
+    bool stale_assignment_at_election = false; ///< a new leader of a data centre does not know its last homes
 };
 
 struct simulation_options {
@@ -30,7 +30,7 @@
     double held_back = 0.02; ///< share of the messages that take up to held_back_for
     duration held_back_for = std::chrono::seconds(3);
     planner_options planning;
-    faults broken;
+    faults injected;
 };
 
 /// Data centres with three voters each and a global group with one voter per data centre; real state machine,
@@ -42,7 +42,7 @@
     explicit simulation(const simulation_options& options);
 
     void add_data_center(const std::string& name, std::uint32_t slots);
-    void set_slots(const std::string& name, std::uint32_t slots) { centers_.at(name).slots = slots; }
+    void set_slots(const std::string& name, std::uint32_t slots) { data_centers_.at(name).slots = slots; }
     void set_hold(duration hold) { options_.hold = hold; }
     void cut(const std::string& a, const std::string& b) { cuts_.insert({std::min(a, b), std::max(a, b)}); }
     /// Loses what the data centre sends from now on; it still receives.
@@ -53,7 +53,7 @@
     }
     void lose(const std::string& name);
     /// All instances are new: a new generation of the group with an empty log.
-    void bring_back(const std::string& name);
+    void restore(const std::string& name);
     void change_leader(const std::string& data_center);
     void change_global_leader();
     void set_network(duration max_delay, double loss, double held_back);
@@ -61,7 +61,7 @@
     void lose_confirmations(bool lost) { lose_confirmations_ = lost; }
     void run(duration length);
 
-    std::uint32_t homes_of(const std::string& name) const;
+    std::uint32_t shards_placed_in(const std::string& name) const;
     std::uint32_t served_by(const std::string& name) const;
     std::uint32_t releasing() const;
     std::uint64_t moves() const { return moves_; }
@@ -71,14 +71,14 @@
     struct clock {
         double rate = 1;
         duration offset{};
-        time_point at(time_point now) const;
-        time_point back(time_point local) const;
+        time_point local_time(time_point now) const;
+        time_point true_time(time_point local) const;
     };
     struct voter {
         clock local;
         contact_observer observer;
     };
-    struct center {
+    struct data_center_model {
         std::string name;
         bool alive = true;
         std::uint32_t slots = 0;
@@ -87,13 +87,13 @@
         std::size_t leader = 0;
         std::uint64_t term = 0;
         std::optional<time_point> election_at;
-        std::unique_ptr<placement_holder> keeper;
+        std::unique_ptr<placement_holder> holder;
         data_center_assignment committed;
-        data_center_assignment most_homes; ///< the record with most shards so far
+        data_center_assignment largest_assignment; ///< the record with most shards so far
         duration receipt_error{};
         std::map<std::uint64_t, time_point> sent;
         std::map<std::uint32_t, time_point> grants; ///< end in true time, by shard
-        time_point next_question{};
+        time_point next_age_query{};
     };
     struct delivery {
         std::string from;
@@ -104,29 +104,29 @@
     duration random_duration(duration longest);
     bool chance(double probability) { return std::uniform_real_distribution<>(0, 1)(random_) < probability; }
     clock random_clock();
-    bool linked(const std::string& a, const std::string& b) const;
-    bool majority(const std::string& name) const;
+    bool connected(const std::string& a, const std::string& b) const;
+    bool reaches_majority(const std::string& name) const;
     void send(const std::string& from, const std::string& to, std::function<void()> action);
-    void after(duration delay, std::function<void()> action);
+    void schedule(duration delay, std::function<void()> action);
     planner_view view() const;
     void step();
     void step_global();
     void elect_global();
     void propose(const command& change);
     void apply(const command& change);
-    void step_center(center& it);
-    void start_keeper(center& it);
-    void contact_leader(center& it);
-    void receive_request(const contact_request& sent);
+    void step_data_center(data_center_model& it);
+    void start_holder(data_center_model& it);
+    void send_contact(data_center_model& it);
+    void receive_contact(const contact_request& sent);
     void receive_reply(const std::string& name, const contact_reply& reply);
-    void grant(center& it);
-    shard_sets held(const center& it) const;
+    void grant(data_center_model& it);
+    shard_sets held_shards(const data_center_model& it) const;
     void check();
 
     simulation_options options_;
     std::mt19937_64 random_;
     time_point now_{std::chrono::hours(1)};
-    std::map<std::string, center> centers_;
+    std::map<std::string, data_center_model> data_centers_;
     std::set<std::pair<std::string, std::string>> cuts_;
     std::set<std::string> muted_;
     std::multimap<time_point, delivery> network_;
