--- a/tests/placement/scenario_test.cpp
+++ b/tests/placement/scenario_test.cpp
@@ -91,7 +91,7 @@
         const auto name = it.text("name");
         const auto count = it.number("count");
         CAPTURE(name);
-        if (it.verb == "expect_homes") {
+        if (it.verb == "expect_placed") {
             CHECK(simulation_.shards_placed_in(name) == count);
         } else if (it.verb == "expect_served") {
             CHECK(simulation_.served_by(name) == count);
