--- a/include/kingcupseam/directory.h
+++ b/include/kingcupseam/directory.h
@@ -13,7 +13,7 @@
 
 namespace kingcupseam::directory {
 
-/// Keys of a service that is divided by key ranges: 0 to last_key.
+/// Key of a service whose keys are divided into ranges: 0 to last_key.
 using key_number = std::uint32_t;
 inline constexpr key_number last_key = 65535;
 
@@ -23,16 +23,16 @@
     bool operator==(const weighted_service&) const = default;
 };
 
-/// How requests of one host and path prefix are treated.
+/// Rule for the requests of one host and path prefix.
 struct route {
     std::string name;
     std::string host;
-    std::string path_prefix; ///< begins and ends with a slash
-    execution runs = execution::idempotent;
-    duration timeout{};        ///< longest time that a caller is kept waiting
-    duration target_latency{}; ///< answers within it have their full worth
-    std::int32_t priority = 0; ///< 0 is served first
-    std::int32_t attempts = 1; ///< upstreams to which one request may be sent
+    std::string path_prefix;                ///< begins and ends with a slash
+    execution runs = execution::idempotent; ///< whether a request may run more than once
+    duration timeout{};                     ///< longest time that a caller is kept waiting
+    duration target_latency{};              ///< answers within it have their full value to the caller
+    std::int32_t priority = 0;              ///< 0 is served first
+    std::int32_t attempts = 1;              ///< upstreams to which one request may be sent
     std::vector<weighted_service> targets;
     bool operator==(const route&) const = default;
 };
@@ -41,8 +41,8 @@
     std::string name;
     std::string health_path;
     std::int32_t max_connections = 0;
-    bool key_ranges = false; ///< upstreams own ranges of keys exclusively
-    duration warm_up{};      ///< time for which keys are slow that arrive without a handover
+    bool key_ranges = false; ///< each key belongs to one upstream at a time
+    duration warm_up{};      ///< time for which keys received without a handover are slow
     bool operator==(const routed_service&) const = default;
 };
 
@@ -54,17 +54,17 @@
     bool operator==(const caller_limits&) const = default;
 };
 
-/// What the operators want, as a whole. The highest version is in force.
+/// The operators' complete settings for routing. The highest version is in force.
 struct configuration {
     std::uint64_t version = 0;
-    std::map<std::string, route> routes; ///< by name
-    std::map<std::string, routed_service> services;
+    std::map<std::string, route> routes;            ///< by name
+    std::map<std::string, routed_service> services; ///< by name
     caller_limits limits;
-    std::string document; ///< text as the operator sent it, for reading back; empty at entries
+    std::string document; ///< the operator's original text, for reading it back; empty at entries
     bool operator==(const configuration&) const = default;
 };
 
-/// A configuration that names an unknown service or has weights or attempts that cannot work.
+/// Thrown for a configuration with unknown services, conflicting routes, or unusable weights or attempts.
 class invalid_configuration : public error {
 public:
     using error::error;
@@ -73,7 +73,7 @@
 /// @throws invalid_configuration
 void validate(const configuration& wanted);
 
-/// One process lifetime of an upstream: a restarted one has a later start.
+/// One process lifetime of an upstream. A restarted upstream has a later start.
 struct upstream_incarnation {
     std::string id;
     std::int64_t started_ms = 0; ///< Unix time, by the upstream's clock
@@ -88,13 +88,13 @@
     endpoint_address address;
     std::int32_t slots = 1;
     bool draining = false;
-    bool left = false; ///< said that it ends; it may serve for some seconds more
-    /// True when it may get new work.
+    bool left = false; ///< has announced that it ends; it may serve for a few more seconds
+    /// Whether it may be given new requests and key ranges.
     bool accepts_work() const noexcept { return !draining && !left; }
     bool operator==(const upstream&) const = default;
 };
 
-/// Keys @ref first to @ref last belong to one life of an upstream.
+/// Keys @ref first to @ref last, both included, owned by one incarnation of an upstream.
 struct key_range {
     key_number first = 0;
     key_number last = 0;
@@ -105,7 +105,7 @@
 
 using range_map = std::map<key_number, key_range>; ///< by first key; ranges do not overlap
 
-/// Value of the replicated state machine.
+/// State of the replicated state machine at one log index.
 struct snapshot {
     std::uint64_t index = 0;                     ///< log index of the last command
     std::shared_ptr<const configuration> config; ///< null before the first one
@@ -127,37 +127,39 @@
     bool operator==(const assignment&) const = default;
 };
 
-/// One entry of the log. Its parts are applied in this order.
+/// One log entry. Its fields are applied in the order of their declaration.
 struct command {
-    std::optional<configuration> config;        ///< changes nothing unless its version is higher
-    std::vector<upstream> upstreams;            ///< changes nothing for an earlier life of the same id
+    std::optional<configuration> config;        ///< ignored unless its version is higher
+    std::vector<upstream> upstreams;            ///< ignored for an earlier incarnation of a known id
     std::vector<std::string> removed_upstreams; ///< ids
     std::vector<assignment> assignments;
-    bool renumber_epochs =
-        false; ///< gives every range the epoch of this command and joins neighbours of one owner
+    /// Gives every range the epoch of this command and joins adjacent ranges of one owner.
+    bool renumber_epochs = false;
     bool empty() const;
 };
 
+/// @param index log index of @p change
 snapshot apply(const snapshot& before, const command& change, std::uint64_t index);
 
 std::string encode(const command& source);
 /// @throws invalid_input
 command decode_command(const std::string& bytes);
-/// Whole state, for log snapshots; includes the configuration's document.
+/// Encodes the whole state, for log snapshots, with the configuration's document.
 std::string encode(const snapshot& source);
 /// @throws invalid_input
 snapshot decode_snapshot(const std::string& bytes);
 
-/// Difference for entries from @p base to @p target; everything when @p base is null. Leaves the document
-/// out.
+/// Encodes the difference from @p base to @p target for entries, without the configuration's document.
+/// @param base null to encode the whole of @p target
 std::string encode_difference(const snapshot* base, const snapshot& target);
-/// @throws invalid_input when the bytes are malformed or do not continue @p held
+/// @throws invalid_input when the bytes are malformed or based on another state than @p held
 snapshot apply_difference(const snapshot& held, const std::string& bytes);
 
-/// Finds the route of a request: among the routes of the host, the one with the longest matching prefix.
+/// Finds the route of a request: the longest matching path prefix among the routes of its host.
 class route_index {
 public:
     explicit route_index(std::shared_ptr<const configuration> source);
+    /// @returns null when no route matches
     const route* match(std::string_view host, std::string_view path) const;
 
 private:
--- a/src/directory/codec.cpp
+++ b/src/directory/codec.cpp
@@ -64,7 +64,7 @@
     return result;
 }
 
-/// @param known routes equal to these are left out; null for all
+/// @param known routes equal to these are left out; null to encode all routes
 wire::Configuration to_wire(const configuration& source, const configuration* known, bool with_document) {
     wire::Configuration result;
     result.version = static_cast<std::int64_t>(source.version);
@@ -87,7 +87,7 @@
     return result;
 }
 
-/// @param routes those that the encoded configuration left out
+/// @param routes those that the encoded configuration leaves out
 configuration from_wire(const wire::Configuration& source, std::map<std::string, route> routes) {
     configuration result;
     result.version = static_cast<std::uint64_t>(source.version);
@@ -297,7 +297,7 @@
 snapshot apply_difference(const snapshot& held, const std::string& bytes) {
     const auto in = read<wire::DirectoryUpdate>(bytes);
     if (in.base != 0 && static_cast<std::uint64_t>(in.base) != held.index) {
-        throw invalid_input("directory", "base", "does not continue the directory that is held");
+        throw invalid_input("directory", "base", "is not the index of the directory held here");
     }
     snapshot result = in.base == 0 ? snapshot{} : held;
     result.index = static_cast<std::uint64_t>(in.index);
--- a/src/directory/configuration.cpp
+++ b/src/directory/configuration.cpp
@@ -30,10 +30,10 @@
 } // namespace
 
 void validate(const configuration& wanted) {
-    std::set<std::pair<std::string, std::string>> places;
+    std::set<std::pair<std::string, std::string>> matches;
     for (const auto& [name, it] : wanted.routes) {
         validate_route(it, wanted);
-        if (!places.emplace(it.host, it.path_prefix).second) {
+        if (!matches.emplace(it.host, it.path_prefix).second) {
             throw invalid_configuration("route " + name + ": another route has the same host and prefix");
         }
     }
--- a/src/directory/snapshot.cpp
+++ b/src/directory/snapshot.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Removes @p first to @p last from the ranges; what lies outside keeps its owner and epoch.
+/// Removes the keys @p first to @p last. The rest of a range that they divide keeps its owner and epoch.
 void cut_out(range_map& ranges, key_number first, key_number last) {
     auto it = ranges.upper_bound(first);
     if (it != ranges.begin()) {
@@ -38,6 +38,7 @@
     ranges.emplace(change.first, key_range{change.first, change.last, change.owner, epoch});
 }
 
+/// Gives all ranges the same epoch and joins adjacent ranges of one owner.
 void renumber(range_map& ranges, std::uint64_t epoch) {
     range_map result;
     for (const auto& [first, it] : ranges) {
@@ -51,6 +52,7 @@
     ranges = std::move(result);
 }
 
+/// Adds or replaces an upstream, unless a later incarnation of it is known.
 void put_upstream(std::map<std::string, upstream>& upstreams, const upstream& change) {
     const auto it = upstreams.find(change.incarnation.id);
     if (it == upstreams.end() || it->second.incarnation.started_ms <= change.incarnation.started_ms) {
--- a/tests/directory/directory_test.cpp
+++ b/tests/directory/directory_test.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("a configuration is checked before it is accepted") {
+TEST_CASE("an invalid configuration is refused") {
     auto config = two_routes();
     CHECK_NOTHROW(validate(config));
     SUBCASE("unknown service") {
@@ -55,7 +55,7 @@
     CHECK_THROWS_AS(validate(config), invalid_configuration);
 }
 
-TEST_CASE("the longest prefix of the host decides") {
+TEST_CASE("a request matches the longest path prefix of its host") {
     const route_index index(std::make_shared<const configuration>(two_routes()));
     CHECK(index.match("h", "/x/y/z")->name == "long");
     CHECK(index.match("h", "/x/z")->name == "short");
@@ -80,7 +80,7 @@
         CHECK(apply(state, again, 2).config->version == 7);
     }
 
-    SUBCASE("a late report of an earlier life changes nothing") {
+    SUBCASE("a late report of an earlier incarnation changes nothing") {
         command late;
         late.upstreams = {make_upstream("u1", 9)};
         CHECK(apply(state, late, 2).upstreams.at("u1").incarnation.started_ms == 10);
@@ -97,7 +97,7 @@
         CHECK(state.owner_of("a", last_key)->epoch == 2);
         CHECK(state.ranges.at("a").size() == 3);
 
-        SUBCASE("and renumbering joins neighbours of one owner") {
+        SUBCASE("renumbering joins adjacent ranges of one owner") {
             state = apply(state, assign(100, 199, {"u1", 10}), 4);
             command renumber;
             renumber.renumber_epochs = true;
@@ -107,17 +107,17 @@
         }
     }
 
-    SUBCASE("every difference leads from one state to the next") {
-        const auto held = [](const snapshot& from, const snapshot& to, const snapshot& entry) {
+    SUBCASE("applying each difference yields the next state") {
+        const auto update = [](const snapshot& from, const snapshot& to, const snapshot& entry) {
             return apply_difference(entry, encode_difference(&from, to));
         };
         snapshot entry = apply_difference({}, encode_difference(nullptr, state));
-        CHECK(entry.config->document.empty()); // entries do not need the operator's text
+        CHECK(entry.config->document.empty()); // the document is not sent to entries
         const std::vector<command> changes{assign(0, last_key, {"u1", 10}), assign(5, 9, {"u2", 10}),
                                            assign(0, 6, {"u2", 10})};
         for (const auto& it : changes) {
             const snapshot next = apply(state, it, state.index + 1);
-            entry = held(state, next, entry);
+            entry = update(state, next, entry);
             state = next;
             CHECK(entry.ranges == state.ranges);
             CHECK(entry.upstreams == state.upstreams);
@@ -129,13 +129,13 @@
         reconfigure.config->routes.erase("short");
         reconfigure.removed_upstreams = {"u2"};
         const snapshot next = apply(state, reconfigure, state.index + 1);
-        entry = held(state, next, entry);
+        entry = update(state, next, entry);
         CHECK(entry.config->routes == next.config->routes);
         CHECK(entry.upstreams == next.upstreams);
         CHECK_THROWS_AS(apply_difference({}, encode_difference(&state, next)), invalid_input);
     }
 
-    SUBCASE("stored forms are read back as they were") {
+    SUBCASE("encoded states and commands decode to equal values") {
         CHECK(decode_snapshot(encode(state)).config->document == "text");
         CHECK(decode_snapshot(encode(state)).upstreams == state.upstreams);
         CHECK(decode_command(encode(change)).upstreams == change.upstreams);
