--- a/include/kingcupseam/placement.h
+++ b/include/kingcupseam/placement.h
@@ -10,74 +10,80 @@
 #include <variant>
 #include <vector>
 
+/// Placement of shards in data centres. A data centre serves its shards for a limited time, the hold, after
+/// its last contact with the leader of the global group. That leader moves shards with the data centre's
+/// confirmation (planned move), or without it once the hold has certainly expired (takeover).
 namespace kingcupseam::placement {
 
 inline constexpr std::int16_t unplaced = -1;
 
-/// Clocks differ by at most 2,000 ppm (1/500) from true time.
+/// A clock drifts from true time by at most 2,000 ppm (1/500).
 inline constexpr std::int64_t clock_drift_divisor = 500;
 
-/// What a clock may be off over @p length. The data centre stops this much early, the global leader waits
-/// this much longer.
+/// Largest error of a clock over @p length. The data centre stops this much earlier, and the global leader
+/// waits this much longer.
 constexpr duration drift_margin(duration length) {
     return duration(length.count() / clock_drift_divisor + 1);
 }
 
-/// A planned move that waits for the old home's consent.
+/// A planned move that waits for the confirmation of the shard's data centre.
 struct pending_release {
-    std::int16_t next = unplaced; ///< index into service_homes::data_centers
-    std::uint64_t begun = 0;      ///< log index; a confirmation of an earlier release does not match
+    std::int16_t next = unplaced; ///< index into service_placement::data_centers
+    std::uint64_t begun = 0;      ///< log index of begin_release, to reject confirmations of earlier releases
     auto operator<=>(const pending_release&) const = default;
 };
 
-/// Homes of the shards of one service.
+/// Placement of the shards of one service.
 struct service_placement {
     std::vector<std::string> data_centers;
-    std::vector<std::int16_t> placements; ///< index into data_centers
-    std::map<std::uint32_t, pending_release> releases;
-    std::map<std::string, std::uint32_t> planned_slots; ///< slots that the spread was made for
+    std::vector<std::int16_t> placements;               ///< by shard: index into data_centers or unplaced
+    std::map<std::uint32_t, pending_release> releases;  ///< by shard
+    std::map<std::string, std::uint32_t> planned_slots; ///< by data centre, as of the last planning
     std::uint64_t version = 0;                          ///< log index of the last change
     bool operator==(const service_placement&) const = default;
 };
 
-/// What the global group has promised to a data centre.
+/// Holds that the global group has granted to one data centre.
 struct hold_promise {
-    std::uint64_t count = 0;               ///< committed contacts
-    std::uint64_t lengthened_at = 0;       ///< log index of the last contact that made a hold longer
-    std::map<std::string, duration> holds; ///< by service; the longest hold that the data centre may be using
+    std::uint64_t contact_count = 0;       ///< committed contacts
+    std::uint64_t lengthened_at = 0;       ///< log index of the last contact that lengthened a hold
+    std::map<std::string, duration> holds; ///< by service: the longest that the data centre may be using
     bool operator==(const hold_promise&) const = default;
 };
 
-/// First spread (base_version 0) and moves without consent. Refused when the service has changed, or when a
-/// data centre that loses homes has been in contact since the decision.
+/// Initial placement (base_version 0) and takeovers. Refused when the service's placement has changed, or
+/// when a data centre that loses shards has been in contact since the decision.
 struct set_placement {
     std::string service;
     std::uint64_t base_version = 0;
     std::vector<std::string> data_centers;
     std::vector<std::int16_t> placements;
     std::map<std::string, std::uint32_t> planned_slots;
-    std::map<std::string, std::uint64_t> contacts; ///< promise::count of the data centres that lose homes
+    /// hold_promise::contact_count of the data centres that lose shards.
+    std::map<std::string, std::uint64_t> contact_counts;
     bool operator==(const set_placement&) const = default;
 };
 
-/// Starts planned moves. Refused when the service has changed.
+/// Starts planned moves. Refused when the service's placement has changed.
 struct begin_release {
     std::string service;
     std::uint64_t base_version = 0;
-    std::map<std::uint32_t, std::string> next; ///< new home by shard
+    std::map<std::uint32_t, std::string> next; ///< target data centre by shard
     std::map<std::string, std::uint32_t> planned_slots;
     bool operator==(const begin_release&) const = default;
 };
 
-/// The old home's consent. Shards whose release has another `begun` are passed over.
+/// Completes planned moves: the data centre no longer serves these shards. Shards whose release has another
+/// `begun` are skipped.
 struct confirm_release {
     std::string service;
     std::string data_center;
-    std::map<std::uint32_t, std::uint64_t> begun; ///< by shard
+    std::map<std::uint32_t, std::uint64_t> begun; ///< pending_release::begun by shard
     bool operator==(const confirm_release&) const = default;
 };
 
-/// Orders a contact against moves without consent, and records the holds promised to the data centre.
+/// Records a contact in the log, so that a takeover decided before it is refused, and the holds granted with
+/// it.
 struct contact {
     std::string data_center;
     std::map<std::string, duration> holds;
@@ -86,29 +92,29 @@
 
 using command = std::variant<set_placement, begin_release, confirm_release, contact>;
 
-/// Part of the global group's state machine; deterministic.
+/// Placement of all services, a deterministic part of the global group's state machine.
 struct placement_state {
     std::map<std::string, service_placement> services;
     std::map<std::string, hold_promise> promises; ///< by data centre
     std::uint64_t version = 0;                    ///< log index of the last change
     bool operator==(const placement_state&) const = default;
 
-    /// @param index log index of the command, above all earlier ones
+    /// @param index log index of the command; higher than all earlier ones
     /// @returns false when the command was refused and changed nothing
     bool apply(const command& change, std::uint64_t index);
 };
 
-/// One service as its home data centre sees it.
+/// Shards of one service that are placed in one data centre.
 struct service_assignment {
     duration hold{};
-    std::set<std::uint32_t> shards;                   ///< homes that stay
-    std::map<std::uint32_t, std::uint64_t> releasing; ///< homes to give up, with pending_release::begun
+    std::set<std::uint32_t> shards;                   ///< without those that are being released
+    std::map<std::uint32_t, std::uint64_t> releasing; ///< pending_release::begun by shard
     bool operator==(const service_assignment&) const = default;
 };
 
-/// Homes of one data centre; replicated in that data centre's group before they take effect.
+/// Shards of one data centre. Takes effect once that data centre's group has committed it.
 struct data_center_assignment {
-    std::uint64_t version = 0; ///< home_state::version
+    std::uint64_t version = 0; ///< placement_state::version
     std::map<std::string, service_assignment> services;
     bool operator==(const data_center_assignment&) const = default;
 };
@@ -116,7 +122,8 @@
 /// From the leader of a data centre group to the leader of the global group.
 struct contact_request {
     std::string data_center;
-    std::uint64_t holder = 0; ///< unique per keeper: a new leader gets no answers meant for the former one
+    std::uint64_t holder =
+        0; ///< id of the placement_holder, so that a new leader ignores replies to a former one
     std::uint64_t number = 0;
     std::uint64_t version = 0;             ///< committed in the data centre
     std::map<std::string, duration> holds; ///< committed in the data centre
@@ -127,42 +134,42 @@
 struct contact_reply {
     std::uint64_t holder = 0;
     std::uint64_t number = 0;
-    std::optional<data_center_assignment> assigned; ///< empty when the data centre has them already
+    std::optional<data_center_assignment> assigned; ///< empty when the request stated the same
     bool operator==(const contact_reply&) const = default;
 };
 
-/// Homes in proportion to the slots, moving as few shards as possible; new homes are interleaved.
-/// @param current index into @p slots or no_home
-/// @param movable whether a shard may leave its home; shards without a home always get one
-/// @param may_gain data centres that may get shards
-/// @returns the homes; equal to @p current when no data centre with slots may gain
+/// Places shards in proportion to the slots with as few moves as possible; moved shards are interleaved.
+/// @param current by shard: index into @p slots or unplaced
+/// @param movable by shard: whether it may leave its data centre; unplaced shards are always placed
+/// @param may_gain by data centre: whether it may get shards
+/// @returns the new placement; equal to @p current when no data centre with slots may gain
 std::vector<std::int16_t> spread_shards(const std::vector<std::int16_t>& current,
                                         const std::vector<std::uint32_t>& slots,
                                         const std::vector<bool>& movable, const std::vector<bool>& may_gain);
 
 struct planner_options {
-    /// Lets the data centres register their upstreams before the first spread.
+    /// Time for the data centres to register their upstreams before the initial placement.
     duration initial_placement_delay = std::chrono::milliseconds(1500);
-    /// Part of its slots that a data centre gains or loses before homes move: restarts of single upstreams
-    /// stay below it.
+    /// Fraction of its slots that a data centre must gain or lose before shards move; larger than what a
+    /// restart of single upstreams changes.
     double rebalance_threshold = 0.25;
-    /// How long the change lasts before homes move; longer than a restart of a data centre's upstreams.
+    /// How long such a change must last; longer than a restart of all upstreams of a data centre.
     duration rebalance_delay = std::chrono::minutes(10);
-    /// A data centre without contact for longer takes part in no planned move.
+    /// A data centre without contact for longer than this takes part in no planned move.
     duration contact_timeout = std::chrono::seconds(5);
-    /// After this a command that changed nothing is taken as lost.
+    /// A command without effect for this long counts as lost.
     duration retry_after = std::chrono::seconds(5);
 };
 
 struct service_view {
     std::uint32_t shards = 0;
-    duration hold{};                            ///< home hold of the profile in force
+    duration hold{};                            ///< of the profile in force
     std::map<std::string, std::uint32_t> slots; ///< of live upstreams, by data centre
 };
 
-/// What the leader of the global group knows.
+/// Input of the planner on the leader of the global group.
 struct planner_view {
-    const placement_state& state; ///< applied
+    const placement_state& state; ///< after the last applied command
     std::map<std::string, service_view> services;
     time_point leadership_valid_until; ///< consensus::node::leadership_valid_until()
 };
@@ -172,41 +179,43 @@
     std::optional<contact_reply> reply;
 };
 
-/// Decides the homes; runs on the leader of the global group. A new one is made at each election, once the
-/// first entry of the leader's own term has been applied: moves proposed by earlier leaders have then either
-/// been applied or are lost.
+/// Plans the placement; runs on the leader of the global group. Created anew at each election, once the first
+/// entry of the leader's own term has been applied: by then the moves that earlier leaders proposed are
+/// either applied or lost.
 class placement_planner {
 public:
-    /// @param elected contacts with earlier leaders are not known, so every hold is counted from here
+    /// @param elected start of every hold, since contacts with earlier leaders are not known
     placement_planner(const planner_options& options, time_point elected);
 
-    /// No reply is given after leadership_valid_until, since another leader may have begun to count the hold,
-    /// and while the data centre's contact must first be committed. The data centre asks again.
+    /// Gives no reply after leadership_valid_until, as another leader may already count the hold, and none
+    /// while the contact has yet to be committed. The data centre asks again.
     contact_effects on_contact(const contact_request& request, const planner_view& view, time_point now);
-    /// Commands to propose now; called about once a second.
+    /// @returns commands to propose; call it about once a second
     std::vector<command> plan(const planner_view& view, time_point now);
 
 private:
     struct service_progress {
         std::optional<time_point> slots_seen_since;
         std::optional<time_point> changed_since;
-        std::uint64_t issued_for_version = 0; ///< service_homes::version that the last command was based on
+        std::uint64_t issued_for_version = 0; ///< service_placement::version of the last command
         std::optional<time_point> issued_at;
     };
 
     bool reachable(const std::string& data_center, time_point now) const;
     bool hold_expired(const std::string& service, const std::string& data_center, const planner_view& view,
                       time_point now) const;
-    std::optional<command> initial_placement(const std::string& service, const planner_view& view,
-                                             time_point now);
-    std::optional<command> take_over(const std::string& service, const planner_view& view, time_point now);
-    std::optional<command> rebalance(const std::string& service, const planner_view& view, time_point now);
+    std::optional<command> plan_initial_placement(const std::string& service, const planner_view& view,
+                                                  time_point now);
+    std::optional<command> plan_takeover(const std::string& service, const planner_view& view,
+                                         time_point now);
+    std::optional<command> plan_rebalance(const std::string& service, const planner_view& view,
+                                          time_point now);
 
     planner_options options_;
     time_point elected_;
     std::map<std::string, time_point> last_contact_;
-    /// promise::count against which a move without consent was proposed. It may still commit, so the data
-    /// centre is answered only after a later contact has been committed.
+    /// hold_promise::contact_count on which the last proposed takeover from a data centre is based. The
+    /// takeover may still commit, so the data centre gets no reply before a later contact has been committed.
     std::map<std::string, std::uint64_t> takeover_contact_counts_;
     std::map<std::string, service_progress> progress_;
 };
@@ -219,32 +228,32 @@
 /// Shards by service.
 using shard_sets = std::map<std::string, std::set<std::uint32_t>>;
 
-/// Bounds what a data centre serves; runs on the leader of its group. A new one is made at each election,
-/// once the first entry of the leader's own term has been applied.
+/// Decides which shards a data centre may serve, and until when; runs on the leader of its group. Created
+/// anew at each election, once the first entry of the leader's own term has been applied.
 class placement_holder {
 public:
-    /// @param id unique among the keepers of the data centre, for instance generation and term
+    /// @param id unique among the holders of the data centre, for example generation and term
     /// @param committed last data_center_homes in the group's log
-    /// @param last_contact of the contact_observer of this instance. Empty: nothing is served before the next
+    /// @param last_contact from this instance's contact_observer; when empty, nothing is served before the
+    /// next
     ///        contact
     placement_holder(const holder_options& options, std::uint64_t id, data_center_assignment committed,
                      std::optional<time_point> last_contact);
 
-    /// @param held shards that the group's table counts as home here or whose grants may be live; others that
-    ///        are to be released are confirmed
+    /// @param held shards that the group's table assigns to this data centre or whose grants may be live; the
+    ///        release of any other shard is confirmed
     /// @returns the request to send now, if one is due
     std::optional<contact_request> poll(const shard_sets& held, time_point now);
-    /// @returns homes to commit in the group's log. The contact counts once on_committed() has seen them.
+    /// @returns an assignment to commit in the group's log; the contact counts after on_committed()
     std::optional<data_center_assignment> on_reply(const contact_reply& reply);
     void on_committed(const data_center_assignment& committed);
 
-    /// End of every gate lease of the service's upstreams, and so of every grant; time_point{} without a
-    /// contact.
+    /// Latest end of the gate leases and grants of the service's upstreams; time_point{} without a contact.
     time_point serve_until(const std::string& service) const;
     bool may_serve(const std::string& service, std::uint32_t shard, time_point now) const;
-    /// Homes in force; shards that are to be released are not granted any more.
+    /// The assignment in force. Shards that are being released get no new grants.
     const data_center_assignment& assignment() const noexcept { return committed_; }
-    /// For the observers of the other instances; rounded up. Empty without a contact.
+    /// For the contact_observers of the other instances; rounded up. Empty without a contact.
     std::optional<duration> contact_age(time_point now) const;
     std::optional<time_point> last_contact() const noexcept { return contact_; }
 
@@ -264,20 +273,20 @@
     holder_options options_;
     std::uint64_t id_;
     data_center_assignment committed_;
-    std::optional<time_point> contact_; ///< not later than the last contact that counts
+    std::optional<time_point> contact_; ///< not later than the last valid contact
     std::uint64_t last_number_ = 0;
     std::optional<time_point> next_request_;
     std::map<std::uint64_t, sent_request> open_requests_;
     std::optional<uncommitted> uncommitted_;
 };
 
-/// Keeps, on each voter of a data centre group, a time on its own clock that is not later than the last
-/// contact of the group's leader. The voter asks the leader for the age of the contact. The age was true at
-/// some time after the question was sent, so the contact is not older than the age counted back from the
-/// question. Reset when the voter joins another generation of the group.
+/// Lower bound for the time of the leader's last contact, kept by each voter of a data centre group on its
+/// own clock. The voter asks the leader for the age of the contact; the leader answers after the query was
+/// sent, so the contact is not earlier than the query's time less the age. Reset when the voter joins another
+/// generation of the group.
 class contact_observer {
 public:
-    /// @param asked when the answered question was sent
+    /// @param asked when the voter sent the query
     void on_contact_age(time_point asked, duration age);
     std::optional<time_point> last_contact() const noexcept { return contact_; }
 
--- a/src/placement/holder.cpp
+++ b/src/placement/holder.cpp
@@ -35,7 +35,7 @@
         }
     }
     open_requests_[result.number] = {now, committed_.version, result.holds};
-    // Replies later than this many intervals add nothing to the contacts since.
+    // A reply that arrives this many intervals late brings no later contact than the replies since.
     constexpr std::size_t max_open = 64;
     if (open_requests_.size() > max_open) {
         open_requests_.erase(open_requests_.begin());
@@ -49,7 +49,7 @@
         return std::nullopt;
     }
     const auto request = found->second;
-    // A reply overtaken by a later one could bring back a longer hold, so older requests are forgotten.
+    // A reply that arrives after a newer one could restore a longer hold, so older requests are dropped.
     open_requests_.erase(open_requests_.begin(), std::next(found));
     if (!reply.assigned) {
         if (request.version == committed_.version && request.holds == holds()) {
@@ -98,7 +98,7 @@
 }
 
 void contact_observer::on_contact_age(time_point asked, duration age) {
-    // The age was measured by the leader's clock, and both clocks drift.
+    // The leader measured the age on its own clock, and both clocks drift.
     const auto contact = asked - age - 2 * drift_margin(age);
     contact_ = std::max(contact_.value_or(contact), contact);
 }
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -31,8 +31,8 @@
     return holds;
 }
 
-/// The holds of the profile, but for longer ones that the data centre may still use. A request older than the
-/// last longer promise may come from a former leader of the data centre and shortens nothing.
+/// The holds of the profile, or longer ones where the data centre may still use them. A request older than
+/// the last lengthening may come from a former leader of the data centre, so it shortens no hold.
 std::map<std::string, duration> next_promise(const contact_request& request, const hold_promise& promised,
                                              const planner_view& view) {
     auto holds = wanted_holds(view);
@@ -86,7 +86,7 @@
     return holds;
 }
 
-/// Data centres with slots are added at the end: indexes of pending releases stay valid.
+/// Appends data centres that are new, so that the indexes in pending releases stay valid.
 std::vector<std::string> all_data_centers(const service_placement& placement, const service_view& wanted) {
     auto names = placement.data_centers;
     for (const auto& [name, slots] : wanted.slots) {
@@ -97,7 +97,7 @@
     return names;
 }
 
-/// Whether a data centre gained or lost more than @p part of the slots that the homes were spread for.
+/// Whether a data centre gained or lost more than @p part of its slots since the last planning.
 bool slots_changed(const std::map<std::string, std::uint32_t>& planned_slots,
                    const std::map<std::string, std::uint32_t>& slots, double part) {
     auto names = planned_slots;
@@ -135,10 +135,10 @@
     const auto wanted = next_promise(request, promised, view);
     const auto taken_over = takeover_contact_counts_.find(request.data_center);
     const bool must_commit =
-        taken_over != takeover_contact_counts_.end() && promised.count <= taken_over->second;
-    if (must_commit || promised.count == 0 || wanted != promised.holds) {
-        // Without a reply until it is applied: a shorter promise that is on its way would otherwise be
-        // committed after a reply that offers a longer hold.
+        taken_over != takeover_contact_counts_.end() && promised.contact_count <= taken_over->second;
+    if (must_commit || promised.contact_count == 0 || wanted != promised.holds) {
+        // No reply until it is applied: otherwise a shorter hold that is still being committed could take
+        // effect after a reply that grants a longer one.
         result.commands.emplace_back(contact{request.data_center, wanted});
         return result;
     }
@@ -176,10 +176,10 @@
             now - *progress.issued_at < options_.retry_after) {
             continue;
         }
-        auto change =
-            placement == nullptr ? initial_placement(service, view, now) : take_over(service, view, now);
+        auto change = placement == nullptr ? plan_initial_placement(service, view, now)
+                                           : plan_takeover(service, view, now);
         if (!change && placement != nullptr) {
-            change = rebalance(service, view, now);
+            change = plan_rebalance(service, view, now);
         }
         if (change) {
             progress.issued_for_version = version;
@@ -190,8 +190,8 @@
     return result;
 }
 
-std::optional<command> placement_planner::initial_placement(const std::string& service,
-                                                            const planner_view& view, time_point now) {
+std::optional<command> placement_planner::plan_initial_placement(const std::string& service,
+                                                                 const planner_view& view, time_point now) {
     const auto& wanted = view.services.at(service);
     auto& progress = progress_[service];
     set_placement change;
@@ -220,8 +220,8 @@
     return change;
 }
 
-std::optional<command> placement_planner::take_over(const std::string& service, const planner_view& view,
-                                                    time_point now) {
+std::optional<command> placement_planner::plan_takeover(const std::string& service, const planner_view& view,
+                                                        time_point now) {
     const auto& wanted = view.services.at(service);
     const auto& placement = *find_placement(view, service);
     set_placement change;
@@ -233,14 +233,14 @@
     std::vector<bool> may_gain;
     for (std::size_t n = 0; n < change.data_centers.size(); ++n) {
         const auto& name = change.data_centers[n];
-        const bool lost = hold_expired(service, name, view, now);
-        slots.push_back(lost ? 0 : slots_of(wanted.slots, name));
+        const bool expired = hold_expired(service, name, view, now);
+        slots.push_back(expired ? 0 : slots_of(wanted.slots, name));
         may_gain.push_back(reachable(name, now));
         change.planned_slots[name] = slots.back();
         const auto self = static_cast<std::int16_t>(n);
-        if (lost && std::count(current.begin(), current.end(), self) > 0) {
+        if (expired && std::count(current.begin(), current.end(), self) > 0) {
             std::replace(current.begin(), current.end(), self, unplaced);
-            change.contacts[name] = promise_of(view.state, name).count;
+            change.contact_counts[name] = promise_of(view.state, name).contact_count;
         }
     }
     if (std::count(current.begin(), current.end(), unplaced) == 0) {
@@ -250,14 +250,14 @@
     if (change.placements == current) {
         return std::nullopt;
     }
-    for (const auto& [name, count] : change.contacts) {
+    for (const auto& [name, count] : change.contact_counts) {
         takeover_contact_counts_[name] = count;
     }
     return change;
 }
 
-std::optional<command> placement_planner::rebalance(const std::string& service, const planner_view& view,
-                                                    time_point now) {
+std::optional<command> placement_planner::plan_rebalance(const std::string& service, const planner_view& view,
+                                                         time_point now) {
     const auto& wanted = view.services.at(service);
     const auto& placement = *find_placement(view, service);
     auto& progress = progress_[service];
@@ -266,7 +266,7 @@
     std::vector<bool> active;
     std::map<std::string, std::uint32_t> planned_slots;
     for (const auto& name : names) {
-        // A data centre that is cut off keeps the slots it had; its hold decides.
+        // A data centre without contact keeps its former slots: its shards move only by a takeover.
         const bool in_contact = reachable(name, now);
         active.push_back(in_contact);
         slots.push_back(in_contact ? slots_of(wanted.slots, name) : slots_of(placement.planned_slots, name));
@@ -284,8 +284,8 @@
         return std::nullopt;
     }
     std::vector<bool> movable;
-    for (const auto home : placement.placements) {
-        movable.push_back(home != unplaced && active[static_cast<std::size_t>(home)]);
+    for (const auto it : placement.placements) {
+        movable.push_back(it != unplaced && active[static_cast<std::size_t>(it)]);
     }
     const auto next = spread_shards(placement.placements, slots, movable, active);
     begin_release change{service, placement.version, {}, std::move(planned_slots)};
--- a/src/placement/spread_shards.cpp
+++ b/src/placement/spread_shards.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Shares of @p total in proportion to @p slots. What rounding leaves over goes to the largest remainders,
-/// and of equal ones to the data centre that has most shards, which saves moves.
+/// Divides @p total in proportion to @p slots by the largest remainder method. Of equal remainders the data
+/// centre with most shards comes first, which saves moves.
 std::vector<std::int64_t> proportional_shares(std::int64_t total, const std::vector<std::uint32_t>& slots,
                                               const std::vector<std::int64_t>& counts) {
     const auto sum = std::accumulate(slots.begin(), slots.end(), std::int64_t{0});
@@ -31,7 +31,7 @@
     return result;
 }
 
-/// Picks data centres in turn, each as often as its weight says.
+/// Smooth weighted round-robin over the data centres.
 class interleaver {
 public:
     explicit interleaver(std::vector<std::int64_t> weights)
@@ -57,8 +57,8 @@
     std::int64_t total_;
 };
 
-/// Shards to move: all without a home, and as many evenly spaced movable ones as a data centre has too many,
-/// at most @p room in all.
+/// Selects all unplaced shards, then evenly spaced surplus shards of each data centre among its movable ones,
+/// until there are @p room in all.
 std::vector<std::size_t> shards_to_move(const std::vector<std::int16_t>& current,
                                         const std::vector<bool>& movable,
                                         const std::vector<std::int64_t>& surplus, std::int64_t room) {
@@ -96,8 +96,8 @@
                                         const std::vector<bool>& movable, const std::vector<bool>& may_gain) {
     std::vector<std::int64_t> counts(slots.size());
     std::int64_t unplaced_count = 0;
-    for (const auto home : current) {
-        home == unplaced ? ++unplaced_count : ++counts[static_cast<std::size_t>(home)];
+    for (const auto it : current) {
+        it == unplaced ? ++unplaced_count : ++counts[static_cast<std::size_t>(it)];
     }
     bool any = false;
     for (std::size_t n = 0; n < slots.size(); ++n) {
@@ -116,7 +116,7 @@
         room += deficit[n];
     }
     if (unplaced_count > room) {
-        // Another data centre that lacks shards may gain none now, so the others take more than their share.
+        // A data centre with a deficit may not gain shards now, so the others take more than their share.
         for (std::size_t n = 0; n < slots.size(); ++n) {
             deficit[n] = may_gain[n] ? deficit[n] + slots[n] : 0;
         }
--- a/src/placement/state.cpp
+++ b/src/placement/state.cpp
@@ -6,29 +6,29 @@
 
 namespace {
 
-bool valid(const set_placement& change) {
+bool has_valid_indexes(const set_placement& change) {
     return std::all_of(change.placements.begin(), change.placements.end(), [&change](std::int16_t it) {
         return it >= unplaced && it < static_cast<std::int16_t>(change.data_centers.size());
     });
 }
 
 bool contacted_since(const placement_state& state, const set_placement& change) {
-    return std::any_of(change.contacts.begin(), change.contacts.end(), [&state](const auto& it) {
+    return std::any_of(change.contact_counts.begin(), change.contact_counts.end(), [&state](const auto& it) {
         const auto found = state.promises.find(it.first);
-        return (found == state.promises.end() ? 0 : found->second.count) != it.second;
+        return (found == state.promises.end() ? 0 : found->second.contact_count) != it.second;
     });
 }
 
 bool apply_change(placement_state& state, const set_placement& change, std::uint64_t index) {
     const auto found = state.services.find(change.service);
     const auto version = found == state.services.end() ? 0 : found->second.version;
-    if (version != change.base_version || !valid(change) || contacted_since(state, change)) {
+    if (version != change.base_version || !has_valid_indexes(change) || contacted_since(state, change)) {
         return false;
     }
     service_placement next{change.data_centers, change.placements, {}, change.planned_slots, index};
     if (found != state.services.end()) {
         const auto& former = found->second;
-        // Indexes of pending releases stay valid only because a list of data centres is only ever extended.
+        // Pending releases hold indexes into the list of data centres, so the list may only be extended.
         if (former.placements.size() != next.placements.size() ||
             former.data_centers.size() > next.data_centers.size() ||
             !std::equal(former.data_centers.begin(), former.data_centers.end(), next.data_centers.begin())) {
@@ -44,7 +44,7 @@
     return true;
 }
 
-std::int16_t index_of(service_placement& placement, const std::string& data_center) {
+std::int16_t find_or_add(service_placement& placement, const std::string& data_center) {
     const auto found = std::find(placement.data_centers.begin(), placement.data_centers.end(), data_center);
     const auto position = found - placement.data_centers.begin();
     if (found == placement.data_centers.end()) {
@@ -63,7 +63,7 @@
         if (shard >= placement.placements.size() || placement.releases.count(shard) != 0) {
             continue;
         }
-        const auto next = index_of(placement, data_center);
+        const auto next = find_or_add(placement, data_center);
         if (placement.placements[shard] == unplaced) {
             placement.placements[shard] = next;
         } else if (placement.placements[shard] != next) {
@@ -101,7 +101,7 @@
 
 bool apply_change(placement_state& state, const contact& change, std::uint64_t index) {
     auto& it = state.promises[change.data_center];
-    ++it.count;
+    ++it.contact_count;
     const bool longer = std::any_of(change.holds.begin(), change.holds.end(), [&it](const auto& hold) {
         const auto former = it.holds.find(hold.first);
         return former == it.holds.end() || hold.second > former->second;
