--- a/include/kingcupseam/placement.h
+++ b/include/kingcupseam/placement.h
@@ -44,11 +44,11 @@
 };
 
 /// Holds that the global group has granted to one data centre.
-struct hold_promise {
+struct granted_holds {
     std::uint64_t contact_count = 0;       ///< committed contacts
     std::uint64_t lengthened_at = 0;       ///< log index of the last contact that lengthened a hold
     std::map<std::string, duration> holds; ///< by service: the longest that the data centre may be using
-    bool operator==(const hold_promise&) const = default;
+    bool operator==(const granted_holds&) const = default;
 };
 
 /// Initial placement (base_version 0) and takeovers. Refused when the service's placement has changed, or
@@ -59,7 +59,7 @@
     std::vector<std::string> data_centers;
     std::vector<std::int16_t> placements;
     std::map<std::string, std::uint32_t> planned_slots;
-    /// hold_promise::contact_count of the data centres that lose shards.
+    /// granted_holds::contact_count of the data centres that lose shards.
     std::map<std::string, std::uint64_t> contact_counts;
     bool operator==(const set_placement&) const = default;
 };
@@ -95,7 +95,7 @@
 /// Placement of all services, a deterministic part of the global group's state machine.
 struct placement_state {
     std::map<std::string, service_placement> services;
-    std::map<std::string, hold_promise> promises; ///< by data centre
+    std::map<std::string, granted_holds> granted; ///< by data centre
     std::uint64_t version = 0;                    ///< log index of the last change
     bool operator==(const placement_state&) const = default;
 
@@ -122,8 +122,7 @@
 /// From the leader of a data centre group to the leader of the global group.
 struct contact_request {
     std::string data_center;
-    std::uint64_t holder =
-        0; ///< id of the placement_holder, so that a new leader ignores replies to a former one
+    std::uint64_t holder = 0; ///< id of the placement_holder: a new leader ignores replies to a former one
     std::uint64_t number = 0;
     std::uint64_t version = 0;             ///< committed in the data centre
     std::map<std::string, duration> holds; ///< committed in the data centre
@@ -214,7 +213,7 @@
     planner_options options_;
     time_point elected_;
     std::map<std::string, time_point> last_contact_;
-    /// hold_promise::contact_count on which the last proposed takeover from a data centre is based. The
+    /// granted_holds::contact_count on which the last proposed takeover from a data centre is based. The
     /// takeover may still commit, so the data centre gets no reply before a later contact has been committed.
     std::map<std::string, std::uint64_t> takeover_contact_counts_;
     std::map<std::string, service_progress> progress_;
@@ -233,10 +232,8 @@
 class placement_holder {
 public:
     /// @param id unique among the holders of the data centre, for example generation and term
-    /// @param committed last data_center_homes in the group's log
-    /// @param last_contact from this instance's contact_observer; when empty, nothing is served before the
-    /// next
-    ///        contact
+    /// @param committed last data_center_assignment in the group's log
+    /// @param last_contact from this instance's contact_observer; empty to serve nothing before a contact
     placement_holder(const holder_options& options, std::uint64_t id, data_center_assignment committed,
                      std::optional<time_point> last_contact);
 
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -12,10 +12,10 @@
     return found == view.state.services.end() ? nullptr : &found->second;
 }
 
-const hold_promise& promise_of(const placement_state& state, const std::string& data_center) {
-    static const hold_promise none;
-    const auto found = state.promises.find(data_center);
-    return found == state.promises.end() ? none : found->second;
+const granted_holds& holds_granted_to(const placement_state& state, const std::string& data_center) {
+    static const granted_holds none;
+    const auto found = state.granted.find(data_center);
+    return found == state.granted.end() ? none : found->second;
 }
 
 std::uint32_t slots_of(const std::map<std::string, std::uint32_t>& slots, const std::string& data_center) {
@@ -33,12 +33,12 @@
 
 /// The holds of the profile, or longer ones where the data centre may still use them. A request older than
 /// the last lengthening may come from a former leader of the data centre, so it shortens no hold.
-std::map<std::string, duration> next_promise(const contact_request& request, const hold_promise& promised,
-                                             const planner_view& view) {
+std::map<std::string, duration> next_holds(const contact_request& request, const granted_holds& granted,
+                                           const planner_view& view) {
     auto holds = wanted_holds(view);
-    for (const auto& [service, hold] : promised.holds) {
+    for (const auto& [service, hold] : granted.holds) {
         auto may_use = hold;
-        if (request.version >= promised.lengthened_at) {
+        if (request.version >= granted.lengthened_at) {
             const auto used = request.holds.find(service);
             may_use = used == request.holds.end() ? duration::zero() : std::min(used->second, hold);
         }
@@ -131,12 +131,12 @@
             result.commands.emplace_back(it);
         }
     }
-    const auto& promised = promise_of(view.state, request.data_center);
-    const auto wanted = next_promise(request, promised, view);
+    const auto& granted = holds_granted_to(view.state, request.data_center);
+    const auto wanted = next_holds(request, granted, view);
     const auto taken_over = takeover_contact_counts_.find(request.data_center);
     const bool must_commit =
-        taken_over != takeover_contact_counts_.end() && promised.contact_count <= taken_over->second;
-    if (must_commit || promised.contact_count == 0 || wanted != promised.holds) {
+        taken_over != takeover_contact_counts_.end() && granted.contact_count <= taken_over->second;
+    if (must_commit || granted.contact_count == 0 || wanted != granted.holds) {
         // No reply until it is applied: otherwise a shorter hold that is still being committed could take
         // effect after a reply that grants a longer one.
         result.commands.emplace_back(contact{request.data_center, wanted});
@@ -160,9 +160,9 @@
                                      const planner_view& view, time_point now) const {
     const auto found = last_contact_.find(data_center);
     const auto since = found == last_contact_.end() ? elected_ : found->second;
-    const auto& holds = promise_of(view.state, data_center).holds;
-    const auto promised = holds.find(service);
-    const auto hold = promised == holds.end() ? view.services.at(service).hold : promised->second;
+    const auto& holds = holds_granted_to(view.state, data_center).holds;
+    const auto granted = holds.find(service);
+    const auto hold = granted == holds.end() ? view.services.at(service).hold : granted->second;
     return now > since + hold + drift_margin(hold);
 }
 
@@ -240,7 +240,7 @@
         const auto self = static_cast<std::int16_t>(n);
         if (expired && std::count(current.begin(), current.end(), self) > 0) {
             std::replace(current.begin(), current.end(), self, unplaced);
-            change.contact_counts[name] = promise_of(view.state, name).contact_count;
+            change.contact_counts[name] = holds_granted_to(view.state, name).contact_count;
         }
     }
     if (std::count(current.begin(), current.end(), unplaced) == 0) {
--- a/src/placement/state.cpp
+++ b/src/placement/state.cpp
@@ -14,8 +14,8 @@
 
 bool contacted_since(const placement_state& state, const set_placement& change) {
     return std::any_of(change.contact_counts.begin(), change.contact_counts.end(), [&state](const auto& it) {
-        const auto found = state.promises.find(it.first);
-        return (found == state.promises.end() ? 0 : found->second.contact_count) != it.second;
+        const auto found = state.granted.find(it.first);
+        return (found == state.granted.end() ? 0 : found->second.contact_count) != it.second;
     });
 }
 
@@ -100,7 +100,7 @@
 }
 
 bool apply_change(placement_state& state, const contact& change, std::uint64_t index) {
-    auto& it = state.promises[change.data_center];
+    auto& it = state.granted[change.data_center];
     ++it.contact_count;
     const bool longer = std::any_of(change.holds.begin(), change.holds.end(), [&it](const auto& hold) {
         const auto former = it.holds.find(hold.first);
--- a/tests/placement/holder_test.cpp
+++ b/tests/placement/holder_test.cpp
@@ -21,12 +21,12 @@
 
 } // namespace
 
-TEST_CASE("a keeper serves its homes from a contact until the hold has run out") {
+TEST_CASE("a data centre serves its shards from a contact until the hold expires") {
     placement_holder holder({"a"}, 7, {}, std::nullopt);
     const auto first = holder.poll({}, start);
     REQUIRE(first);
     CHECK_FALSE(holder.poll({}, start + std::chrono::milliseconds(499)));
-    SUBCASE("homes take effect once the group has committed them") {
+    SUBCASE("an assignment takes effect once the group has committed it") {
         const auto assignment = holder.on_reply({7, first->number, record(5, {1, 2})});
         REQUIRE(assignment);
         CHECK_FALSE(holder.may_serve(service, 1, start + s(1)));
@@ -34,7 +34,7 @@
         CHECK(holder.may_serve(service, 1, start + s(1)));
         CHECK_FALSE(holder.may_serve(service, 3, start + s(1)));
     }
-    SUBCASE("the hold counts from the request, not from the reply or the commit") {
+    SUBCASE("the hold starts at the request, not at the reply or the commit") {
         holder.on_committed(*holder.on_reply({7, first->number, record(5, {1})}));
         CHECK(holder.serve_until(service) == start + s(60) - drift_margin(s(60)));
         CHECK(holder.may_serve(service, 1, start + s(59)));
@@ -43,24 +43,24 @@
         CHECK_FALSE(holder.on_reply({7, second->number, {}}));
         CHECK(holder.may_serve(service, 1, start + s(71)));
     }
-    SUBCASE("replies to a former leader, unknown replies and repeated ones count for nothing") {
+    SUBCASE("replies to a former leader, unknown replies and repeated ones are ignored") {
         CHECK_FALSE(holder.on_reply({6, first->number, record(5, {1})}));
         CHECK_FALSE(holder.on_reply({7, first->number + 1, record(5, {1})}));
         CHECK(holder.on_reply({7, first->number, record(5, {1})}));
         CHECK_FALSE(holder.on_reply({7, first->number, record(5, {1})}));
     }
-    SUBCASE("a reply overtaken by a later one counts for nothing") {
+    SUBCASE("a reply that arrives after a later one is ignored") {
         const auto second = holder.poll({}, start + s(1));
         holder.on_committed(*holder.on_reply({7, second->number, record(6, {2}, {}, s(5))}));
         CHECK_FALSE(holder.on_reply({7, first->number, record(6, {2}, {}, s(600))}));
         CHECK(holder.serve_until(service) == start + s(6) - drift_margin(s(5)));
     }
-    SUBCASE("homes older than the committed ones are refused") {
+    SUBCASE("an assignment older than the committed one is refused") {
         holder.on_committed(record(6, {2}));
         CHECK_FALSE(holder.on_reply({7, first->number, record(5, {1})}));
         CHECK_FALSE(holder.last_contact());
     }
-    SUBCASE("a reply without homes counts only for the homes that the request stated") {
+    SUBCASE("a reply without an assignment confirms only the one that the request stated") {
         const auto second = holder.poll({}, start + s(1));
         holder.on_committed(record(6, {2}));
         CHECK_FALSE(holder.on_reply({7, second->number, {}}));
@@ -68,13 +68,13 @@
     }
 }
 
-TEST_CASE("a keeper confirms a release once nothing holds the shard") {
+TEST_CASE("a release is confirmed once no grant holds the shard") {
     placement_holder holder({"a"}, 7, record(9, {1}, {{2, 8}, {3, 9}}), start);
     CHECK_FALSE(holder.may_serve(service, 2, start));
     const auto request = holder.poll({{service, {1, 3}}}, start);
     REQUIRE(request->released.size() == 1);
     CHECK(request->released[0] == confirm_release{service, "a", {{2, 8}}});
-    // Repeated until the new homes arrive, so a lost request does no harm.
+    // Repeated until a new assignment arrives, so a lost request does no harm.
     CHECK(holder.poll({}, start + s(1))->released[0].begun.size() == 2);
 }
 
@@ -87,7 +87,7 @@
     SUBCASE("the observed contact is not later than the real one, whatever the delay of the answer") {
         placement_holder former({"a"}, 7, record(5, {1}), start);
         contact_observer observer;
-        // Asked 10 s after the contact; the answer was made 3 s later.
+        // The query is sent 10 s after the contact and answered 3 s later.
         observer.on_contact_age(start + s(10), *former.contact_age(start + s(13)));
         REQUIRE(observer.last_contact());
         CHECK(*observer.last_contact() < start);
--- a/tests/placement/planner_test.cpp
+++ b/tests/placement/planner_test.cpp
@@ -16,7 +16,7 @@
     return std::chrono::seconds(n);
 }
 
-/// A planner with the state it acts on; commands are applied at once unless a test holds them back.
+/// A planner and its state; commands are applied at once unless a test delays them.
 struct leader {
     placement_state state;
     std::uint64_t index = 0;
@@ -42,8 +42,8 @@
         apply_all(ask(name, now).commands);
         return ask(name, now).reply;
     }
-    /// First spread, at @p now.
-    void form(time_point now) {
+    /// Makes the initial placement at @p now.
+    void place_initially(time_point now) {
         for (const auto at : {now - s(2), now}) {
             for (const auto& [name, it] : slots) {
                 contact(name, at);
@@ -53,13 +53,13 @@
     }
     std::int64_t shards_placed_in(const std::string& name) const {
         const auto& it = state.services.at(service);
-        return std::count_if(it.placements.begin(), it.placements.end(), [&](auto home) {
-            return home != unplaced && it.data_centers[static_cast<std::size_t>(home)] == name;
+        return std::count_if(it.placements.begin(), it.placements.end(), [&](auto placed_in) {
+            return placed_in != unplaced && it.data_centers[static_cast<std::size_t>(placed_in)] == name;
         });
     }
 };
 
-std::vector<std::int16_t> none(std::size_t shards) {
+std::vector<std::int16_t> all_unplaced(std::size_t shards) {
     return std::vector<std::int16_t>(shards, unplaced);
 }
 
@@ -83,10 +83,10 @@
 
 TEST_CASE("shards are spread in proportion to the slots with the fewest moves") {
     const std::vector<bool> all(4096, true);
-    const auto first = spread_shards(none(4096), {20, 10, 10}, all, {true, true, true});
-    SUBCASE("the first spread is proportional and interleaved") {
+    const auto first = spread_shards(all_unplaced(4096), {20, 10, 10}, all, {true, true, true});
+    SUBCASE("the initial placement is proportional and interleaved") {
         CHECK(counts(first, 3) == std::vector<std::int64_t>{2048, 1024, 1024});
-        // Long runs of one home would put neighbouring shards of a hot service into one data centre.
+        // Long runs would place adjacent shards of a hot service in one data centre.
         for (std::size_t n = 0; n + 4 < first.size(); ++n) {
             CHECK(std::count(first.begin() + std::ptrdiff_t(n), first.begin() + std::ptrdiff_t(n) + 4, 0) ==
                   2);
@@ -105,98 +105,100 @@
     SUBCASE("shards that may not move stay, whatever the slots") {
         CHECK(spread_shards(first, {0, 10, 10}, std::vector<bool>(4096, false), {true, true, true}) == first);
     }
-    SUBCASE("shards without a home go to those that may gain, also above their share") {
+    SUBCASE("unplaced shards go to data centres that may gain, even above their share") {
         auto lost = first;
         std::replace(lost.begin(), lost.end(), std::int16_t{0}, unplaced);
         const auto next =
             spread_shards(lost, {0, 10, 10}, std::vector<bool>(4096, false), {false, true, false});
         CHECK(counts(next, 3) == std::vector<std::int64_t>{0, 3072, 1024});
     }
-    SUBCASE("without a data centre that may gain nothing changes") {
-        CHECK(spread_shards(none(4), {10, 10}, {true, true, true, true}, {false, false}) == none(4));
-        CHECK(spread_shards(none(4), {0, 0}, {true, true, true, true}, {true, true}) == none(4));
+    SUBCASE("nothing changes when no data centre may gain") {
+        CHECK(spread_shards(all_unplaced(4), {10, 10}, {true, true, true, true}, {false, false}) ==
+              all_unplaced(4));
+        CHECK(spread_shards(all_unplaced(4), {0, 0}, {true, true, true, true}, {true, true}) ==
+              all_unplaced(4));
     }
 }
 
-TEST_CASE("the planner moves homes of a silent data centre only after the hold") {
+TEST_CASE("shards of a silent data centre are taken over only after the hold") {
     leader it;
-    const auto formed = start + s(10);
-    it.form(formed);
+    const auto placed_at = start + s(10);
+    it.place_initially(placed_at);
     REQUIRE(it.shards_placed_in("a") == 4);
-    const auto silent_until = [&it](time_point now) {
+    const auto plan_with_c_silent = [&it](time_point now) {
         it.contact("a", now);
         it.contact("b", now);
         return it.planner.plan(it.view(), now);
     };
     SUBCASE("not within the hold and its margin") {
-        CHECK(silent_until(formed + s(60)).empty());
-        CHECK(silent_until(formed + s(60) + drift_margin(s(60))).empty());
-        it.apply_all(silent_until(formed + s(61)));
+        CHECK(plan_with_c_silent(placed_at + s(60)).empty());
+        CHECK(plan_with_c_silent(placed_at + s(60) + drift_margin(s(60))).empty());
+        it.apply_all(plan_with_c_silent(placed_at + s(61)));
         CHECK(it.shards_placed_in("c") == 0);
         CHECK(it.shards_placed_in("a") == 6);
     }
     SUBCASE("a newly elected leader counts the hold from its election") {
-        const auto elected = formed + s(50);
+        const auto elected = placed_at + s(50);
         it.planner = placement_planner({}, elected);
-        CHECK(silent_until(elected + s(60)).empty());
-        CHECK(silent_until(elected + s(61)).size() == 1);
+        CHECK(plan_with_c_silent(elected + s(60)).empty());
+        CHECK(plan_with_c_silent(elected + s(61)).size() == 1);
     }
-    SUBCASE("a leader that may have been replaced does not confirm contacts") {
-        it.valid_until = formed + s(1);
-        CHECK_FALSE(it.ask("c", formed + s(1)).reply);
+    SUBCASE("a leader that may have been replaced does not reply to contacts") {
+        it.valid_until = placed_at + s(1);
+        CHECK_FALSE(it.ask("c", placed_at + s(1)).reply);
     }
-    SUBCASE("a contact while the move is being committed is answered only in the order of the log") {
-        const auto now = formed + s(61);
-        const auto move = silent_until(now);
+    SUBCASE("a contact during a takeover is answered once the log has ordered both") {
+        const auto now = placed_at + s(61);
+        const auto move = plan_with_c_silent(now);
         REQUIRE(move.size() == 1);
         const auto effects = it.ask("c", now);
         CHECK_FALSE(effects.reply);
         REQUIRE(effects.commands.size() == 1);
-        SUBCASE("the move commits first: the reply says so") {
+        SUBCASE("the takeover commits first: the reply takes the shards away") {
             it.apply_all(move);
             it.apply_all(effects.commands);
             const auto reply = it.ask("c", now).reply;
             REQUIRE(reply);
             CHECK(reply->assigned->services.at(service).shards.empty());
         }
-        SUBCASE("the contact commits first: the move is refused") {
+        SUBCASE("the contact commits first: the takeover is refused") {
             it.apply_all(effects.commands);
             CHECK_FALSE(it.apply(move[0]));
             CHECK(it.shards_placed_in("c") == 4);
         }
     }
-    SUBCASE("a hold that was promised before it was shortened still counts") {
+    SUBCASE("a hold that was granted before it was shortened still counts") {
         it.hold = s(5);
-        CHECK(silent_until(formed + s(20)).empty());
-        CHECK(silent_until(formed + s(61)).size() == 1);
+        CHECK(plan_with_c_silent(placed_at + s(20)).empty());
+        CHECK(plan_with_c_silent(placed_at + s(61)).size() == 1);
     }
-    SUBCASE("a longer hold is offered only once it is promised") {
+    SUBCASE("a longer hold is granted only after it has been committed") {
         it.hold = s(600);
-        const auto effects = it.ask("c", formed);
+        const auto effects = it.ask("c", placed_at);
         CHECK_FALSE(effects.reply);
         it.apply_all(effects.commands);
-        CHECK(it.state.promises.at("c").holds.at(service) == s(600));
-        CHECK(it.ask("c", formed).reply);
+        CHECK(it.state.granted.at("c").holds.at(service) == s(600));
+        CHECK(it.ask("c", placed_at).reply);
     }
-    SUBCASE("a request of a former leader of the data centre does not shorten the promise") {
+    SUBCASE("a request of a former leader of the data centre does not shorten the hold") {
         it.hold = s(600);
-        it.contact("c", formed);
+        it.contact("c", placed_at);
         it.hold = s(60);
-        const auto old = it.state.promises.at("c").lengthened_at - 1;
-        it.apply_all(it.ask("c", formed, old, {{service, s(60)}}).commands);
-        CHECK(it.state.promises.at("c").holds.at(service) == s(600));
-        it.apply_all(it.ask("c", formed, it.state.version, {{service, s(60)}}).commands);
-        CHECK(it.state.promises.at("c").holds.at(service) == s(60));
+        const auto old_version = it.state.granted.at("c").lengthened_at - 1;
+        it.apply_all(it.ask("c", placed_at, old_version, {{service, s(60)}}).commands);
+        CHECK(it.state.granted.at("c").holds.at(service) == s(600));
+        it.apply_all(it.ask("c", placed_at, it.state.version, {{service, s(60)}}).commands);
+        CHECK(it.state.granted.at("c").holds.at(service) == s(60));
     }
 }
 
-TEST_CASE("planned moves wait for a lasting change and for consent") {
+TEST_CASE("planned moves wait for a lasting change and for confirmation") {
     leader it;
-    const auto formed = start + s(10);
-    it.form(formed);
+    const auto placed_at = start + s(10);
+    it.place_initially(placed_at);
     std::vector<command> issued;
     const auto run = [&](duration from, duration until) {
-        for (auto at = formed + from; at <= formed + until && issued.empty(); at += s(1)) {
+        for (auto at = placed_at + from; at <= placed_at + until && issued.empty(); at += s(1)) {
             for (const auto& [name, count] : it.slots) {
                 it.contact(name, at);
             }
@@ -217,7 +219,7 @@
         run(s(511), s(1000));
         CHECK(issued.empty());
     }
-    SUBCASE("a lasting change starts releases, and each home moves with its confirmation") {
+    SUBCASE("a lasting change starts releases, and each shard moves with its confirmation") {
         it.slots["a"] = 5;
         run(s(1), s(700));
         REQUIRE(issued.size() == 1);
@@ -237,13 +239,13 @@
 
 TEST_CASE("commands based on an older state are refused") {
     leader it;
-    it.form(start + s(10));
+    it.place_initially(start + s(10));
     const auto version = it.state.services.at(service).version;
     const auto before = it.state;
     CHECK_FALSE(it.apply(begin_release{service, version - 1, {{0, "b"}}, {}}));
     CHECK_FALSE(it.apply(begin_release{"unknown", version, {{0, "b"}}, {}}));
-    CHECK_FALSE(it.apply(set_placement{service, 0, {"a"}, none(12), {}, {}}));
-    CHECK_FALSE(it.apply(set_placement{service, version, {"a"}, none(12), {}, {}}));
+    CHECK_FALSE(it.apply(set_placement{service, 0, {"a"}, all_unplaced(12), {}, {}}));
+    CHECK_FALSE(it.apply(set_placement{service, version, {"a"}, all_unplaced(12), {}, {}}));
     CHECK_FALSE(it.apply(set_placement{service, version, {"a", "b", "c"}, {7}, {}, {}}));
     CHECK(it.state == before);
 }
--- a/tests/placement/scenario_test.cpp
+++ b/tests/placement/scenario_test.cpp
@@ -17,13 +17,13 @@
     scenario_runner(const kingcupseam::test::scenario& script, std::uint64_t seed, faults injected)
         : script_(script), simulation_(options_of(script, seed, injected)) {}
 
-    /// @param expect whether the expect_* steps are checked; a broken variant may miss them
-    const simulation& run_steps(bool expect) {
+    /// @param check_expectations false to skip the expect_* steps, which may fail with an injected fault
+    const simulation& run_steps(bool check_expectations) {
         for (const auto& it : script_.steps) {
             CAPTURE(it.verb);
             if (it.verb.rfind("expect_", 0) != 0) {
                 act(it);
-            } else if (expect) {
+            } else if (check_expectations) {
                 check(it);
             }
         }
@@ -126,7 +126,7 @@
 
 } // namespace
 
-TEST_CASE("at most one data centre acts as the home of a shard") {
+TEST_CASE("at most one data centre serves a shard") {
     for (const auto& file : kingcupseam::test::scenarios_of("placement")) {
         const auto script = kingcupseam::test::load_scenario(file);
         CAPTURE(script.name);
@@ -141,29 +141,29 @@
     }
 }
 
-TEST_CASE("the check finds deliberately broken variants") {
-    SUBCASE("a hold counted from the receipt of the reply") {
+TEST_CASE("the simulation detects injected faults") {
+    SUBCASE("a hold that starts at the receipt of the reply") {
         CHECK(detects("slow_replies", {.hold_from_receipt = true}));
     }
     SUBCASE("no margin for clock drift") {
         CHECK(detects("cut_longer_than_long_hold", {.no_drift_margin = true}));
     }
-    SUBCASE("homes kept after the hold") {
+    SUBCASE("shards served after the hold") {
         CHECK(detects("cut_longer_than_hold", {.serve_after_hold = true}));
     }
-    SUBCASE("a new leader of a data centre that forgets the last contact") {
+    SUBCASE("a new leader of a data centre that counts its election as a contact") {
         CHECK(detects("leader_changes_during_cut", {.contact_at_election = true}));
     }
-    SUBCASE("a new global leader that takes the hold as run out") {
+    SUBCASE("a new global leader that counts every hold as expired") {
         CHECK(detects("global_leader_changes_during_cut", {.holds_expired_at_election = true}));
     }
     SUBCASE("a release confirmed while grants may be live") {
         CHECK(detects("joining_data_center", {.confirm_with_live_grants = true}));
     }
-    SUBCASE("a confirmation of an earlier release") {
+    SUBCASE("a confirmation of an earlier release that counts for the present one") {
         CHECK(detects("back_and_forth", {.confirm_any_release = true}));
     }
-    SUBCASE("a new leader of a data centre that knows only old homes") {
+    SUBCASE("a new leader of a data centre with an old assignment") {
         CHECK(detects("leader_changes_after_release", {.stale_assignment_at_election = true}));
     }
 }
--- a/tests/placement/simulation.cpp
+++ b/tests/placement/simulation.cpp
@@ -8,9 +8,9 @@
 
 const std::string service = "s";
 constexpr duration tick = std::chrono::milliseconds(10);
-constexpr duration lease = std::chrono::milliseconds(600);
-constexpr duration leadership = std::chrono::milliseconds(300);
-constexpr duration election = std::chrono::milliseconds(400);
+constexpr duration grant_lease = std::chrono::milliseconds(600);
+constexpr duration leadership_lease = std::chrono::milliseconds(300);
+constexpr duration election_time = std::chrono::milliseconds(400);
 constexpr duration ms(std::int64_t n) {
     return std::chrono::milliseconds(n);
 }
@@ -33,7 +33,7 @@
     return duration(std::uniform_int_distribution<std::int64_t>(0, longest.count())(random_));
 }
 
-// The ends of the allowed range find missing margins most surely.
+// The ends of the allowed range are the most likely to reveal a missing margin.
 simulation::clock simulation::random_clock() {
     const double drift = 1.0 / static_cast<double>(clock_drift_divisor);
     return {1 + (chance(0.5) ? drift : -drift), random_duration(std::chrono::hours(10))};
@@ -75,7 +75,7 @@
     it.holder.reset();
     ++it.term;
     it.leader = (it.leader + 1) % it.voters.size();
-    it.election_at = now_ + election;
+    it.election_at = now_ + election_time;
 }
 
 void simulation::change_global_leader() {
@@ -116,7 +116,7 @@
 planner_view simulation::view() const {
     service_view wanted{options_.shards, options_.hold, mirrored_slots_};
     const auto& local = data_centers_.at(global_leader_).global_voter;
-    return {state_, {{service, wanted}}, local.local_time(last_quorum_ + leadership)};
+    return {state_, {{service, wanted}}, local.local_time(last_quorum_ + leadership_lease)};
 }
 
 void simulation::run(duration length) {
@@ -145,7 +145,7 @@
     if (planner_ && reaches_majority(global_leader_)) {
         last_quorum_ = now_;
     }
-    if (now_ - last_quorum_ > election) {
+    if (now_ - last_quorum_ > election_time) {
         planner_.reset();
         elect_global();
     }
@@ -189,9 +189,9 @@
 }
 
 void simulation::propose(const command& change) {
-    // Commands of one leader are committed in order; a leader without a majority commits nothing. Between two
-    // leaders half of the commands are in the log of the next one, which commits them before its first own
-    // entry.
+    // Commands of one leader are committed in order, and none without a majority. While there is no leader,
+    // half of the commands are taken to be in the log of the next one, which commits them before its own
+    // first entry.
     schedule(ms(20), [this, change, term = global_term_] {
         if (term == global_term_ && (planner_ ? reaches_majority(global_leader_) : chance(0.5))) {
             apply(change);
@@ -243,7 +243,7 @@
     }
     it.next_age_query = now_ + ms(150);
     for (auto& member : it.voters) {
-        // The answer takes a while each way.
+        // The query and the answer are each delayed.
         const auto asked = member.local.local_time(now_ - random_duration(options_.max_delay));
         const auto age = it.holder->contact_age(it.voters[it.leader].local.local_time(now_));
         if (age && !chance(options_.loss)) {
@@ -344,8 +344,8 @@
     }
     limit += options_.injected.hold_from_receipt ? it.receipt_error : duration::zero();
     limit += options_.injected.no_drift_margin ? drift_margin(options_.hold) : duration::zero();
-    limit = options_.injected.serve_after_hold ? local.local_time(now_ + lease) : limit;
-    const auto end = std::min(local.true_time(limit), now_ + lease);
+    limit = options_.injected.serve_after_hold ? local.local_time(now_ + grant_lease) : limit;
+    const auto end = std::min(local.true_time(limit), now_ + grant_lease);
     const auto assigned = it.holder->assignment().services.find(service);
     if (end <= now_ || assigned == it.holder->assignment().services.end()) {
         return;
--- a/tests/placement/simulation.h
+++ b/tests/placement/simulation.h
@@ -9,16 +9,17 @@
 
 namespace kingcupseam::placement::test {
 
-/// Deliberate faults. Each must be found by the check of the world; the code under test has no such switches.
+/// Faults that the simulation must detect. They are injected around the code under test, which has no
+/// switches for them.
 struct faults {
-    bool hold_from_receipt = false;         ///< the data centre counts the hold from the receipt of the reply
-    bool no_drift_margin = false;           ///< neither side keeps a margin
-    bool contact_at_election = false;       ///< a new leader of a data centre takes its election as a contact
-    bool holds_expired_at_election = false; ///< a new global leader takes every hold as run out
+    bool hold_from_receipt = false;   ///< the hold starts at the receipt of the reply
+    bool no_drift_margin = false;     ///< neither side allows for clock drift
+    bool contact_at_election = false; ///< a new leader of a data centre counts its election as a contact
+    bool holds_expired_at_election = false; ///< a new global leader counts every hold as expired
     bool confirm_with_live_grants = false;  ///< a release is confirmed while grants may be live
     bool confirm_any_release = false; ///< a confirmation of an earlier release counts for the present one
-    bool serve_after_hold = false;    ///< the data centre keeps its homes without contact
-    bool stale_assignment_at_election = false; ///< a new leader of a data centre does not know its last homes
+    bool serve_after_hold = false;    ///< the data centre serves without contact
+    bool stale_assignment_at_election = false; ///< a new leader of a data centre uses an old assignment
 };
 
 struct simulation_options {
@@ -27,16 +28,16 @@
     duration hold = std::chrono::seconds(60);
     duration max_delay = std::chrono::milliseconds(20);
     double loss = 0.02;
-    double held_back = 0.02; ///< share of the messages that take up to held_back_for
+    double held_back = 0.02; ///< fraction of the messages that are delayed by up to held_back_for
     duration held_back_for = std::chrono::seconds(3);
     planner_options planning;
     faults injected;
 };
 
-/// Data centres with three voters each and a global group with one voter per data centre; real state machine,
-/// planners, keepers and observers; virtual time, clocks that drift up to the allowed rate, and a network
-/// that delays, reorders and loses messages. After every step of 10 ms at most one data centre may have a
-/// live grant of a shard.
+/// Data centres with three voters each and a global group with one voter per data centre, in virtual time.
+/// Runs the real state machine, planners, holders and observers on clocks that drift up to the allowed rate
+/// and on a network that delays, reorders and loses messages. Checks after every step of 10 ms that at most
+/// one data centre has a live grant of a shard.
 class simulation {
 public:
     explicit simulation(const simulation_options& options);
@@ -45,19 +46,19 @@
     void set_slots(const std::string& name, std::uint32_t slots) { data_centers_.at(name).slots = slots; }
     void set_hold(duration hold) { options_.hold = hold; }
     void cut(const std::string& a, const std::string& b) { cuts_.insert({std::min(a, b), std::max(a, b)}); }
-    /// Loses what the data centre sends from now on; it still receives.
+    /// Drops what the data centre sends from now on; it still receives.
     void mute(const std::string& name) { muted_.insert(name); }
     void heal() {
         cuts_.clear();
         muted_.clear();
     }
     void lose(const std::string& name);
-    /// All instances are new: a new generation of the group with an empty log.
+    /// Restarts a lost data centre with new instances: a new generation of its group with an empty log.
     void restore(const std::string& name);
     void change_leader(const std::string& data_center);
     void change_global_leader();
     void set_network(duration max_delay, double loss, double held_back);
-    /// Loses confirmations of releases while set.
+    /// Drops requests that confirm releases while set.
     void lose_confirmations(bool lost) { lose_confirmations_ = lost; }
     void run(duration length);
 
@@ -89,7 +90,7 @@
         std::optional<time_point> election_at;
         std::unique_ptr<placement_holder> holder;
         data_center_assignment committed;
-        data_center_assignment largest_assignment; ///< the record with most shards so far
+        data_center_assignment largest_assignment; ///< with most shards so far
         duration receipt_error{};
         std::map<std::uint64_t, time_point> sent;
         std::map<std::uint32_t, time_point> grants; ///< end in true time, by shard
