--- a/tests/placement/scenario_test.cpp
+++ b/tests/placement/scenario_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t seeds_per_scenario = 8;
 
-/// Interprets the steps of tests/scenarios/placement_*.toml.
+/// Runs the steps of tests/scenarios/placement_*.toml.
 class scenario_runner {
 public:
     scenario_runner(const kingcupseam::test::scenario& script, std::uint64_t seed, faults injected)
