--- a/tests/placement/planner_test.cpp
+++ b/tests/placement/planner_test.cpp
@@ -63,7 +63,8 @@
     return std::vector<std::int16_t>(shards, unplaced);
 }
 
-std::vector<std::int64_t> counts(const std::vector<std::int16_t>& placement, std::size_t data_centers) {
+std::vector<std::int64_t> shards_per_data_center(const std::vector<std::int16_t>& placement,
+                                                 std::size_t data_centers) {
     std::vector<std::int64_t> result(data_centers);
     for (const auto it : placement) {
         ++result.at(static_cast<std::size_t>(it));
@@ -71,7 +72,7 @@
     return result;
 }
 
-std::size_t moves(const std::vector<std::int16_t>& a, const std::vector<std::int16_t>& b) {
+std::size_t count_moves(const std::vector<std::int16_t>& a, const std::vector<std::int16_t>& b) {
     std::size_t result = 0;
     for (std::size_t n = 0; n < a.size(); ++n) {
         result += a[n] == b[n] ? 0 : 1;
@@ -85,7 +86,7 @@
     const std::vector<bool> all(4096, true);
     const auto first = spread_shards(all_unplaced(4096), {20, 10, 10}, all, {true, true, true});
     SUBCASE("the initial placement is proportional and interleaved") {
-        CHECK(counts(first, 3) == std::vector<std::int64_t>{2048, 1024, 1024});
+        CHECK(shards_per_data_center(first, 3) == std::vector<std::int64_t>{2048, 1024, 1024});
         // Long runs would place adjacent shards of a hot service in one data centre.
         for (std::size_t n = 0; n + 4 < first.size(); ++n) {
             CHECK(std::count(first.begin() + std::ptrdiff_t(n), first.begin() + std::ptrdiff_t(n) + 4, 0) ==
@@ -97,8 +98,8 @@
     }
     SUBCASE("a joining data centre takes its share and nothing else moves") {
         const auto next = spread_shards(first, {20, 10, 10, 10}, all, {true, true, true, true});
-        const auto shared = counts(next, 4);
-        CHECK(shared[3] == moves(first, next));
+        const auto shared = shards_per_data_center(next, 4);
+        CHECK(shared[3] == count_moves(first, next));
         CHECK(std::abs(shared[0] - 1638) <= 1);
         CHECK(std::abs(shared[3] - 819) <= 1);
     }
@@ -110,7 +111,7 @@
         std::replace(lost.begin(), lost.end(), std::int16_t{0}, unplaced);
         const auto next =
             spread_shards(lost, {0, 10, 10}, std::vector<bool>(4096, false), {false, true, false});
-        CHECK(counts(next, 3) == std::vector<std::int64_t>{0, 3072, 1024});
+        CHECK(shards_per_data_center(next, 3) == std::vector<std::int64_t>{0, 3072, 1024});
     }
     SUBCASE("nothing changes when no data centre may gain") {
         CHECK(spread_shards(all_unplaced(4), {10, 10}, {true, true, true, true}, {false, false}) ==
--- a/tests/placement/scenario_test.cpp
+++ b/tests/placement/scenario_test.cpp
@@ -96,9 +96,9 @@
         } else if (it.verb == "expect_served") {
             CHECK(simulation_.served_by(name) == count);
         } else if (it.verb == "expect_releasing") {
-            CHECK((simulation_.releasing() > 0) == (it.text("any", "yes") == "yes"));
+            CHECK((simulation_.shards_in_release() > 0) == (it.text("any", "yes") == "yes"));
         } else if (it.verb == "expect_moves") {
-            CHECK(simulation_.moves() == static_cast<std::uint64_t>(count));
+            CHECK(simulation_.move_count() == static_cast<std::uint64_t>(count));
         } else {
             FAIL("unknown verb " << it.verb);
         }
--- a/tests/placement/simulation.cpp
+++ b/tests/placement/simulation.cpp
@@ -134,20 +134,20 @@
             it.action();
         }
     }
-    step_global();
+    step_global_group();
     for (auto& [name, it] : data_centers_) {
         step_data_center(it);
     }
     check();
 }
 
-void simulation::step_global() {
+void simulation::step_global_group() {
     if (planner_ && reaches_majority(global_leader_)) {
         last_quorum_ = now_;
     }
     if (now_ - last_quorum_ > election_time) {
         planner_.reset();
-        elect_global();
+        elect_global_leader();
     }
     if (!planner_ || now_ < next_plan_) {
         return;
@@ -167,7 +167,7 @@
     }
 }
 
-void simulation::elect_global() {
+void simulation::elect_global_leader() {
     std::vector<std::string> candidates;
     for (const auto& [name, it] : data_centers_) {
         if (reaches_majority(name)) {
@@ -392,7 +392,7 @@
         std::count_if(grants.begin(), grants.end(), [this](const auto& it) { return it.second > now_; }));
 }
 
-std::uint32_t simulation::releasing() const {
+std::uint32_t simulation::shards_in_release() const {
     const auto found = state_.services.find(service);
     return found == state_.services.end() ? 0 : static_cast<std::uint32_t>(found->second.releases.size());
 }
--- a/tests/placement/simulation.h
+++ b/tests/placement/simulation.h
@@ -64,8 +64,8 @@
 
     std::uint32_t shards_placed_in(const std::string& name) const;
     std::uint32_t served_by(const std::string& name) const;
-    std::uint32_t releasing() const;
-    std::uint64_t moves() const { return moves_; }
+    std::uint32_t shards_in_release() const;
+    std::uint64_t move_count() const { return moves_; }
     const std::vector<std::string>& violations() const { return violations_; }
 
 private:
@@ -111,8 +111,8 @@
     void schedule(duration delay, std::function<void()> action);
     planner_view view() const;
     void step();
-    void step_global();
-    void elect_global();
+    void step_global_group();
+    void elect_global_leader();
     void propose(const command& change);
     void apply(const command& change);
     void step_data_center(data_center_model& it);
