--- a/include/kingcupseam/key_ranges.h
+++ b/include/kingcupseam/key_ranges.h
@@ -15,9 +15,9 @@
 using directory::key_number;
 
 /// Requests per key of one service, weighted towards recent ones.
-class demand {
+class key_loads {
 public:
-    demand();
+    key_loads();
     void add(key_number key, double requests);
     /// Multiplies everything by @p factor, 0 to 1.
     void decay(double factor);
@@ -66,13 +66,13 @@
 /// Who should own the @p vacant keys (sorted, not overlapping) so that load fits the weights.
 std::vector<planned_move> plan_vacant(const std::vector<directory::key_range>& vacant,
                                       const directory::range_map& owned,
-                                      const std::vector<candidate>& candidates, const demand& load);
+                                      const std::vector<candidate>& candidates, const key_loads& load);
 
 /// Moves that empty owners which are no candidates, and then restore the balance.
 /// @param movable ranges that may be moved now
 std::vector<planned_move> plan_moves(const directory::range_map& owned,
                                      const std::vector<directory::key_range>& movable,
-                                     const std::vector<candidate>& candidates, const demand& load,
+                                     const std::vector<candidate>& candidates, const key_loads& load,
                                      const planner_options& settings);
 
 struct lease_manager_options {
@@ -122,7 +122,7 @@
     struct view {
         const directory::snapshot& state;
         const std::map<std::string, upstream_condition>& conditions; ///< by upstream id
-        std::map<std::string, demand>& loads;                        ///< by service
+        std::map<std::string, key_loads>& loads;                     ///< by service
     };
     struct effects {
         std::vector<call> calls;
--- a/src/key_ranges/planner.cpp
+++ b/src/key_ranges/planner.cpp
@@ -19,7 +19,7 @@
 /// Load of ranges by prefix sums.
 class load_table {
 public:
-    explicit load_table(const demand& load) : sums_(key_count + 1) {
+    explicit load_table(const key_loads& load) : sums_(key_count + 1) {
         const double total = std::max(load.total(), 1.0);
         const double background = total * background_share / static_cast<double>(key_count);
         for (std::size_t key = 0; key < key_count; ++key) {
@@ -237,14 +237,14 @@
 
 } // namespace
 
-demand::demand() : counts_(key_count) {}
+key_loads::key_loads() : counts_(key_count) {}
 
-void demand::add(key_number key, double requests) {
+void key_loads::add(key_number key, double requests) {
     counts_[key] += requests;
     total_ += requests;
 }
 
-void demand::decay(double factor) {
+void key_loads::decay(double factor) {
     for (double& it : counts_) {
         it *= factor;
     }
@@ -252,7 +252,7 @@
 }
 
 std::vector<planned_move> plan_vacant(const std::vector<key_range>& vacant, const range_map& owned,
-                                      const std::vector<candidate>& candidates, const demand& load) {
+                                      const std::vector<candidate>& candidates, const key_loads& load) {
     const load_table loads(load);
     ledger accounts(owned, candidates, loads);
     std::vector<planned_move> result;
@@ -269,7 +269,7 @@
 }
 
 std::vector<planned_move> plan_moves(const range_map& owned, const std::vector<key_range>& movable,
-                                     const std::vector<candidate>& candidates, const demand& load,
+                                     const std::vector<candidate>& candidates, const key_loads& load,
                                      const planner_options& settings) {
     const load_table loads(load);
     ledger accounts(owned, candidates, loads);
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -91,7 +91,7 @@
     std::uint64_t keeper_number_ = 0; ///< results for an earlier keeper are dropped
     std::map<std::string, key_ranges::upstream_condition> conditions_;
     std::map<std::string, tracked_life> lives_;
-    std::map<std::string, key_ranges::demand> loads_;
+    std::map<std::string, key_ranges::key_loads> loads_;
     std::map<std::string, double> service_times_; ///< moving average in microseconds, by upstream id
     crash_watch crashes_;
     bool was_leading_ = false;
--- a/tests/key_ranges/lease_manager_test.cpp
+++ b/tests/key_ranges/lease_manager_test.cpp
@@ -75,7 +75,7 @@
     time_point now{std::chrono::seconds(100)};
     directory::snapshot state;
     std::map<std::string, upstream_condition> conditions;
-    std::map<std::string, demand> loads;
+    std::map<std::string, key_loads> loads;
     lease_manager keeper;
 };
 
--- a/tests/key_ranges/lease_model.h
+++ b/tests/key_ranges/lease_model.h
@@ -322,7 +322,7 @@
     std::unique_ptr<lease_manager> keeper_;
     std::uint64_t keeper_number_ = 0;
     std::map<std::string, upstream_condition> conditions_;
-    std::map<std::string, demand> loads_;
+    std::map<std::string, key_loads> loads_;
     std::vector<std::pair<time_point, directory::command>> commands_;
     std::vector<delivery> deliveries_;
     std::vector<settlement> settlements_;
--- a/tests/key_ranges/planner_test.cpp
+++ b/tests/key_ranges/planner_test.cpp
@@ -20,7 +20,7 @@
     range_map owned;
     std::vector<key_range> movable;
     std::vector<candidate> candidates;
-    demand load;
+    key_loads load;
 
     explicit service(int n = 10) {
         const key_number width = (directory::last_key + 1) / n;
