--- a/src/key_ranges/lease_manager.cpp
+++ b/src/key_ranges/lease_manager.cpp
@@ -11,10 +11,10 @@
 using directory::snapshot;
 using directory::upstream;
 
-/// Renewals per hold: two may fail before a lease ends.
+/// Renewals within one lease time: two may fail before the lease ends.
 constexpr int renewals_per_hold = 3;
 
-std::vector<key_range> gaps(const range_map* owned) {
+std::vector<key_range> unassigned_ranges(const range_map* owned) {
     std::vector<key_range> result;
     key_number next = 0;
     if (owned != nullptr) {
@@ -41,17 +41,17 @@
 } // namespace
 
 time_point lease_manager::lease::may_hold_until() const {
-    return std::max({answered_until, doubtful_until, prior_until});
+    return std::max({answered_until, unanswered_until, lower_epochs_until});
 }
 
-bool lease_manager::lease::clean(time_point now) const {
-    return confirmed && doubtful_until <= now && prior_until <= now;
+bool lease_manager::lease::is_settled(time_point now) const {
+    return confirmed && unanswered_until <= now && lower_epochs_until <= now;
 }
 
 lease_manager::lease_manager(lease_manager_options settings, time_point elected)
     : settings_(settings), elected_(elected) {}
 
-duration lease_manager::bound() const {
+duration lease_manager::lease_bound() const {
     return std::chrono::duration_cast<duration>(settings_.lease_time * (1 + settings_.clock_error)) +
            settings_.margin;
 }
@@ -59,7 +59,7 @@
 lease_manager::effects lease_manager::tick(const view& known, time_point now) {
     effects out;
     if (!renumbered_) {
-        // Upstreams that answer the new epochs refuse what a former leader sent before.
+        // An upstream that has answered a new epoch refuses what former leaders sent earlier.
         if (!renumber_proposed_) {
             out.command.renumber_epochs = true;
             renumber_proposed_ = true;
@@ -96,18 +96,18 @@
     std::map<std::string, lease_map> next;
     for (const auto& [service, ranges] : state.ranges) {
         for (const auto& [first, it] : ranges) {
-            next[service].emplace(first, inherited(service, it));
+            next[service].emplace(first, carried_over_lease(service, it));
         }
     }
     leases_ = std::move(next);
     synchronized_index_ = state.index;
 }
 
-lease_manager::lease lease_manager::inherited(const std::string& service, const key_range& range) {
+lease_manager::lease lease_manager::carried_over_lease(const std::string& service, const key_range& range) {
     lease result;
     result.range = range;
     if (synchronized_index_ == 0) {
-        result.prior_until = elected_ + bound();
+        result.lower_epochs_until = elected_ + lease_bound();
         return result;
     }
     const auto& held = leases_[service];
@@ -125,7 +125,7 @@
             });
             return result;
         }
-        result.prior_until = std::max(result.prior_until, old.may_hold_until());
+        result.lower_epochs_until = std::max(result.lower_epochs_until, old.may_hold_until());
     }
     auto& tokens = handovers_[service];
     if (const auto it = tokens.find(range.first); it != tokens.end() && it->second.target == range.owner) {
@@ -170,16 +170,16 @@
 void lease_manager::assign_vacant(const std::string& service, const view& known, time_point now,
                                   effects& out) {
     const auto seen = first_seen_.find(service);
-    if (seen == first_seen_.end() || now - seen->second < settings_.settle_time) {
+    if (seen == first_seen_.end() || now - seen->second < settings_.first_assignment_delay) {
         return;
     }
     const auto owned = known.state.ranges.find(service);
-    auto vacant = gaps(owned == known.state.ranges.end() ? nullptr : &owned->second);
+    auto vacant = unassigned_ranges(owned == known.state.ranges.end() ? nullptr : &owned->second);
     range_map kept;
     std::vector<lease*> lost;
     for (auto& [first, it] : leases_[service]) {
         if (known.state.find(it.range.owner) == nullptr) {
-            // The process that held it has ended; only calls without an answer can still take effect.
+            // The owner's process has ended; only unanswered calls can still take effect.
             it.answered_until = {};
         }
         if (is_lost(it, known, now)) {
@@ -218,17 +218,17 @@
 void lease_manager::renew_epoch(const std::string& service, const view& known, time_point now, effects& out) {
     for (auto& [first, it] : leases_[service]) {
         const upstream* owner = known.state.find(it.range.owner);
-        // Once the owner has answered a higher epoch, earlier grants without an answer cannot take effect.
+        // Once the owner has answered a higher epoch, earlier unanswered grants cannot take effect.
         if (owner != nullptr && !owner->accepts_work() && it.open_call == 0 && it.confirmed &&
-            !it.clean(now) && it.parts.empty() && !it.reassigning) {
+            !it.is_settled(now) && it.parts.empty() && !it.reassigning) {
             out.command.assignments.push_back({service, it.range.first, it.range.last, it.range.owner});
             it.reassigning = true;
         }
     }
 }
 
-/// Adds a range as it will be owned once its parts have moved.
-void lease_manager::add_planned(const lease& held, range_map& out) {
+/// Adds a range with the owners that it will have once its parts have moved.
+void lease_manager::add_planned_ranges(const lease& held, range_map& out) {
     key_number next = held.range.first;
     std::vector<move_part> parts = held.parts;
     std::sort(parts.begin(), parts.end(),
@@ -256,10 +256,10 @@
     std::vector<key_range> movable;
     std::size_t moving = 0;
     for (const auto& [first, it] : leases) {
-        add_planned(it, owned);
+        add_planned_ranges(it, owned);
         moving += it.parts.size();
-        if (it.open_call == 0 && it.parts.empty() && !it.reassigning && !it.unreachable && it.clean(now) &&
-            known.state.find(it.range.owner) != nullptr) {
+        if (it.open_call == 0 && it.parts.empty() && !it.reassigning && !it.unreachable &&
+            it.is_settled(now) && known.state.find(it.range.owner) != nullptr) {
             movable.push_back(it.range);
         }
     }
@@ -339,8 +339,8 @@
         return;
     }
     on_release_result(*held, *part, result, handover, now);
-    if (result == call_result::not_sent && !part->asked) {
-        // The owner still holds it. Others may move meanwhile, and its lease is renewed again.
+    if (result == call_result::not_sent && !part->release_sent) {
+        // The owner still holds it: the move is dropped, so that the lease is renewed and others may move.
         held->parts.erase(part);
     }
 }
@@ -349,7 +349,7 @@
                                       const std::string& handover, time_point now) const {
     part.open_call = 0;
     part.next_call = now + settings_.retry_delay;
-    part.asked = part.asked || result != call_result::not_sent;
+    part.release_sent = part.release_sent || result != call_result::not_sent;
     part.released = result == call_result::done;
     part.handover = handover;
     held.unreachable = result == call_result::not_sent;
@@ -360,8 +360,8 @@
     held.next_call = now + settings_.retry_delay;
     held.unreachable = result == call_result::not_sent;
     if (result == call_result::done) {
-        held.answered_until = now + bound();
-        held.prior_until = {};
+        held.answered_until = now + lease_bound();
+        held.lower_epochs_until = {};
         held.confirmed = true;
         held.failed_calls = 0;
         held.handover.clear();
@@ -370,7 +370,7 @@
     }
     ++held.failed_calls;
     if (result == call_result::unanswered) {
-        held.doubtful_until = now + bound();
+        held.unanswered_until = now + lease_bound();
     }
 }
 
