--- a/tests/key_ranges/lease_manager_test.cpp
+++ b/tests/key_ranges/lease_manager_test.cpp
@@ -1,4 +1,4 @@
-#include "key_ranges/lease_model.h"
+#include "key_ranges/lease_simulation.h"
 
 #include <doctest/doctest.h>
 
@@ -7,21 +7,22 @@
 namespace {
 
 constexpr duration fault_time = std::chrono::seconds(40);
-// A hold, the longest outage of the model, and the time to assign and grant.
-constexpr duration calm_time = std::chrono::seconds(25);
+// A lease time, the longest outage in the simulation, and the time to assign and grant.
+constexpr duration recovery_time = std::chrono::seconds(25);
 
-int double_owners(std::uint64_t seeds, const lease_manager_options& settings) {
+int runs_with_double_owners(std::uint64_t seeds, const lease_manager_options& settings) {
     int result = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        result += lease_model(seed, settings).run(fault_time) > 0 ? 1 : 0;
+        result += lease_simulation(seed, settings).run(fault_time) > 0 ? 1 : 0;
     }
     return result;
 }
 
-/// A leader whose upstreams own equal parts of the keys, in virtual time. Grants are answered.
-class calm_leader {
+/// A leader without faults whose upstreams own equal parts of the keys, in virtual time. Grants are answered.
+class leader_fixture {
 public:
-    explicit calm_leader(int upstreams) : keys_each((directory::last_key + 1) / upstreams), keeper({}, now) {
+    explicit leader_fixture(int upstreams)
+        : keys_each((directory::last_key + 1) / upstreams), manager({}, now) {
         auto config = std::make_shared<directory::configuration>();
         config->version = 1;
         config->services["s"] = {"s", "/", 100, true, {}};
@@ -45,19 +46,19 @@
             for (const auto& [id, it] : state.upstreams) {
                 conditions[id].last_announced = now;
             }
-            auto effects = keeper.tick({state, conditions, loads}, now);
+            auto effects = manager.tick({state, conditions, loads}, now);
             if (!effects.command.empty()) {
                 apply(effects.command);
-                keeper.on_command(true);
+                manager.on_command(true);
             }
             for (const auto& it : effects.calls) {
                 if (it.kind == call_kind::release) {
                     releases.push_back(it);
                 }
                 if (unreachable == it.target.id) {
-                    keeper.on_result(it.id, call_result::not_sent, {}, now);
+                    manager.on_result(it.id, call_result::not_sent, {}, now);
                 } else if (it.kind == call_kind::grant || answers_releases) {
-                    keeper.on_result(it.id, call_result::done, {}, now);
+                    manager.on_result(it.id, call_result::done, {}, now);
                 }
             }
         }
@@ -76,15 +77,15 @@
     directory::snapshot state;
     std::map<std::string, upstream_condition> conditions;
     std::map<std::string, key_loads> loads;
-    lease_manager keeper;
+    lease_manager manager;
 };
 
 } // namespace
 
-// Guards against one slow release that holds up all other moves: while upstreams work 12 times slower, each
-// plan waited seconds for the work on the keys of the slowest one.
-TEST_CASE("a release that takes long does not hold up the moves of other upstreams") {
-    calm_leader leader(4);
+// Guards against one slow release that delays all other moves: with upstreams 12 times slower, each plan
+// waited seconds for the requests on the keys of the slowest one.
+TEST_CASE("a slow release does not delay the moves of other upstreams") {
+    leader_fixture leader(4);
     leader.add_load(0, directory::last_key, 1);
     leader.run(std::chrono::seconds(12)); // until the former leader's leases have ended
     leader.add_load(leader.first_key(0), leader.first_key(1) - 1, 8);
@@ -97,10 +98,10 @@
     CHECK(second.front().target.id == "u1");
 }
 
-// Guards against moves from upstreams that the leader cannot reach: their releases were sent again and again
-// (incident inc-9654: 140 in 7 s), no other range could move meanwhile, and their leases were not renewed.
+// Guards against moves from upstreams that the leader cannot reach: it repeated their releases without end
+// (inc-9654: 140 in 7 s), moved no other range meanwhile, and did not renew their leases.
 TEST_CASE("a range whose release could not be sent stays with its owner and is renewed") {
-    calm_leader leader(4);
+    leader_fixture leader(4);
     leader.answers_releases = true;
     leader.add_load(0, directory::last_key, 1);
     leader.run(std::chrono::seconds(12));
@@ -110,7 +111,7 @@
     REQUIRE_FALSE(tried.empty());
     CHECK(tried.size() <= 4);
 
-    SUBCASE("others move meanwhile") {
+    SUBCASE("ranges of other upstreams move meanwhile") {
         leader.add_load(leader.first_key(1), leader.first_key(2) - 1, 32);
         const auto moved = leader.run(std::chrono::seconds(2));
         CHECK(std::any_of(moved.begin(), moved.end(), [](const call& it) { return it.target.id == "u1"; }));
@@ -128,23 +129,23 @@
     lease_manager_options settings;
 
     SUBCASE("with the lease time counted in full") {
-        CHECK(double_owners(seeds, settings) == 0);
+        CHECK(runs_with_double_owners(seeds, settings) == 0);
     }
 
-    // The model has to be able to find what the keeper guards against.
-    SUBCASE("a keeper that counts half of the lease time is caught") {
+    // Shows that the simulation can detect double owners.
+    SUBCASE("a lease manager that counts half of the lease time is detected") {
         settings.clock_error = -0.5;
-        CHECK(double_owners(seeds, settings) > 0);
+        CHECK(runs_with_double_owners(seeds, settings) > 0);
     }
 }
 
-// Guards against a release that leaves a part of its keys behind: two neighbouring ranges of a leaving
-// upstream went in one release with the epoch of the first; the upstream kept the second, which had a higher
-// epoch, and two upstreams held its keys for 2.1 s (navalsig, mix, seed 1052665688994).
+// Guards against a release that covers two ranges: two adjacent ranges of a leaving upstream were released in
+// one call with the epoch of the first. The upstream kept the second, which had a higher epoch, and two
+// upstreams held its keys for 2.1 s (navalsig, mix, seed 1052665688994).
 TEST_CASE("each range of a leaving upstream is released with its own epoch") {
-    calm_leader leader(2);
+    leader_fixture leader(2);
     leader.answers_releases = true;
-    leader.run(std::chrono::seconds(1)); // the first command numbers all epochs anew
+    leader.run(std::chrono::seconds(1)); // the first command renumbers all epochs
     const directory::upstream leaving = leader.state.upstreams.at("u0");
     directory::command split;
     split.assignments.push_back({"s", 1001, 2000, leaving.incarnation});
@@ -168,15 +169,16 @@
     CHECK(leader.state.owner_of("s", 1001)->owner != leaving.incarnation);
 }
 
-TEST_CASE("once faults have ended every key has an owner again") {
+TEST_CASE("every key has an owner again after the faults have ended") {
     for (std::uint64_t seed = 1000; seed < 1040; ++seed) {
         CAPTURE(seed);
-        lease_model model(seed, {});
-        model.run(fault_time);
-        model.stop_faults();
-        model.run(calm_time);
-        // A move leaves its keys without owner between the release and the grant; the users' bound is 1 s.
-        CHECK(model.longest_gap(std::chrono::seconds(5)) <= std::chrono::seconds(1));
+        lease_simulation simulated(seed, {});
+        simulated.run(fault_time);
+        simulated.stop_faults();
+        simulated.run(recovery_time);
+        // During a move the keys have no owner between the release and the grant; the requirement is 1 s at
+        // most.
+        CHECK(simulated.longest_time_without_owner(std::chrono::seconds(5)) <= std::chrono::seconds(1));
     }
 }
 
--- a/tests/key_ranges/lease_model.h
+++ b/tests/key_ranges/lease_simulation.h
@@ -14,11 +14,12 @@
 
 using directory::upstream_incarnation;
 
-/// Upstreams, leaders and a network with faults, in virtual time. Grants may be lost, applied late without an
-/// answer, or reach an upstream after its leader was replaced.
-class lease_model {
+/// Simulates upstreams, leaders and a faulty network in virtual time. Grants may be lost, be applied late
+/// without an answer, or reach an upstream after their leader was replaced.
+class lease_simulation {
 public:
-    lease_model(std::uint64_t seed, lease_manager_options settings) : random_(seed), settings_(settings) {
+    lease_simulation(std::uint64_t seed, lease_manager_options settings)
+        : random_(seed), settings_(settings) {
         auto config = std::make_shared<directory::configuration>();
         config->version = 1;
         config->services["s"] = {"s", "/", 100, true, {}};
@@ -32,30 +33,31 @@
 
     /// @returns the number of steps in which a key had two owners
     int run(duration length) {
-        int double_owners = 0;
+        int steps_with_double_owners = 0;
         const time_point end = now_ + length;
         while (now_ < end) {
             now_ += step;
             inject_faults();
             deliver();
-            announce();
-            lead();
-            double_owners += count_double_owners() > 0 ? 1 : 0;
+            announce_upstreams();
+            step_leader();
+            steps_with_double_owners += count_double_owned_keys() > 0 ? 1 : 0;
         }
-        return double_owners;
+        return steps_with_double_owners;
     }
 
-    /// Longest time that a sampled key has no owner within the next @p length.
-    duration longest_gap(duration length) {
-        std::map<key_number, duration> gaps;
+    /// Runs for @p length.
+    /// @returns the longest time in which a sampled key had no owner
+    duration longest_time_without_owner(duration length) {
+        std::map<key_number, duration> unowned_time;
         duration longest{};
         const time_point end = now_ + length;
         while (now_ < end) {
             run(step);
             for (const auto key : samples) {
-                duration& gap = gaps[key];
-                gap = holders(key) > 0 ? duration{} : gap + step;
-                longest = std::max(longest, gap);
+                duration& unowned = unowned_time[key];
+                unowned = owner_count(key) > 0 ? duration{} : unowned + step;
+                longest = std::max(longest, unowned);
             }
         }
         return longest;
@@ -76,27 +78,27 @@
         std::uint64_t epoch = 0;
         time_point until;
     };
-    struct backend {
+    struct simulated_upstream {
         upstream_incarnation incarnation;
         bool up = true;
-        bool cut = false;     ///< from the leader; callers still reach it
+        bool cut = false;     ///< disconnected from the leader; callers still reach it
         bool leaving = false; ///< has announced that it drains
         time_point ends_at;   ///< when leaving
         time_point back_at;
         std::vector<held_range> held;
-        std::map<key_number, std::uint64_t> seen; ///< highest epoch by sampled key
+        std::map<key_number, std::uint64_t> highest_epochs; ///< by sampled key
     };
     struct delivery {
-        time_point at;      ///< when the upstream acts on it
+        time_point at;      ///< when the upstream carries it out
         time_point arrived; ///< when its lease time starts
         int target = 0;
         call order;
         bool answered = true;
-        std::uint64_t keeper = 0;
+        std::uint64_t manager = 0;
     };
-    struct settlement {
+    struct call_outcome {
         time_point at;
-        std::uint64_t keeper = 0;
+        std::uint64_t manager = 0;
         std::uint64_t id = 0;
         call_result result = call_result::done;
     };
@@ -107,7 +109,7 @@
     }
 
     void start_upstream(int i) {
-        auto& it = backends_[i];
+        auto& it = upstreams_[i];
         it = {};
         it.incarnation = {std::string("u").append(std::to_string(i)), now_.time_since_epoch().count() / 1000};
         directory::command change;
@@ -116,9 +118,9 @@
         state_ = directory::apply(state_, change, state_.index + 1);
     }
 
-    /// It says that it drains, serves what it holds for some seconds more, and ends.
+    /// The upstream announces that it drains, serves what it holds for some seconds, and ends.
     void drain_upstream(int i) {
-        auto& it = backends_[i];
+        auto& it = upstreams_[i];
         it.leaving = true;
         it.ends_at = now_ + between(2000, 8000);
         directory::command change;
@@ -128,15 +130,15 @@
     }
 
     void elect() {
-        ++keeper_number_;
-        keeper_ = std::make_unique<lease_manager>(settings_, now_);
+        ++manager_number_;
+        manager_ = std::make_unique<lease_manager>(settings_, now_);
         conditions_.clear();
         commands_.clear();
     }
 
     void inject_faults() {
         for (int i = 0; i < upstream_count; ++i) {
-            auto& it = backends_[i];
+            auto& it = upstreams_[i];
             if (!it.up && now_ >= it.back_at) {
                 start_upstream(i);
             }
@@ -157,12 +159,12 @@
             elect();
         }
         if (faults_ && chance(0.002)) {
-            // The leader is out of touch with its followers and resumes in the same term, with the same
-            // keeper.
+            // The leader loses contact with its followers and resumes in the same term, with the same lease
+            // manager.
             paused_until_ = now_ + between(300, 3000);
         }
         if (chance(0.05)) {
-            // A hot spell somewhere, so that ranges move all the time.
+            // Random keys become hot, so that ranges keep moving.
             const key_number hot =
                 std::uniform_int_distribution<key_number>(0, directory::last_key - 50)(random_);
             for (key_number key = hot; key < hot + 50; ++key) {
@@ -174,26 +176,26 @@
         }
     }
 
-    void announce() {
-        for (const auto& it : backends_) {
+    void announce_upstreams() {
+        for (const auto& it : upstreams_) {
             if (it.up && !it.cut) {
                 conditions_[it.incarnation.id].last_announced = now_;
             }
         }
     }
 
-    void lead() {
+    void step_leader() {
         for (auto it = commands_.begin(); it != commands_.end();) {
             if (it->first > now_) {
                 ++it;
                 continue;
             }
             state_ = directory::apply(state_, it->second, state_.index + 1);
-            keeper_->on_command(true);
+            manager_->on_command(true);
             it = commands_.erase(it);
         }
         if (now_ >= paused_until_) {
-            auto effects = keeper_->tick({state_, conditions_, loads_}, now_);
+            auto effects = manager_->tick({state_, conditions_, loads_}, now_);
             if (!effects.command.empty()) {
                 commands_.emplace_back(now_ + between(10, 80), effects.command);
             }
@@ -201,38 +203,37 @@
                 send(it);
             }
         }
-        for (auto it = settlements_.begin(); it != settlements_.end();) {
+        for (auto it = outcomes_.begin(); it != outcomes_.end();) {
             if (it->at > now_) {
                 ++it;
                 continue;
             }
-            if (it->keeper == keeper_number_) {
-                keeper_->on_result(it->id, it->result, "t", now_);
+            if (it->manager == manager_number_) {
+                manager_->on_result(it->id, it->result, "t", now_);
             }
-            it = settlements_.erase(it);
+            it = outcomes_.erase(it);
         }
     }
 
     void send(const call& order) {
         const int target = order.target.id.back() - '0';
-        auto& it = backends_[target];
+        auto& it = upstreams_[target];
         if (!it.up || it.cut || (faults_ && chance(0.02))) {
-            settlements_.push_back(
-                {now_ + between(100, 700), keeper_number_, order.id, call_result::not_sent});
+            outcomes_.push_back({now_ + between(100, 700), manager_number_, order.id, call_result::not_sent});
             return;
         }
-        const duration way = between(1, 60);
+        const duration delay = between(1, 60);
         if (faults_ && chance(0.15)) {
-            // No answer; it may be carried out seconds later, but its time counts from its arrival.
+            // Unanswered: it may be carried out seconds later, but its lease time starts at its arrival.
             const duration timeout = std::chrono::milliseconds(700);
             if (chance(0.7)) {
                 deliveries_.push_back(
-                    {now_ + between(2000, 12000), now_ + way, target, order, false, keeper_number_});
+                    {now_ + between(2000, 12000), now_ + delay, target, order, false, manager_number_});
             }
-            settlements_.push_back({now_ + timeout, keeper_number_, order.id, call_result::unanswered});
+            outcomes_.push_back({now_ + timeout, manager_number_, order.id, call_result::unanswered});
             return;
         }
-        deliveries_.push_back({now_ + way, now_ + way, target, order, true, keeper_number_});
+        deliveries_.push_back({now_ + delay, now_ + delay, target, order, true, manager_number_});
     }
 
     void deliver() {
@@ -243,16 +244,16 @@
             }
             const delivery it = deliveries_[i];
             deliveries_.erase(deliveries_.begin() + static_cast<std::ptrdiff_t>(i));
-            const bool done = act(it);
+            const bool done = carry_out(it);
             if (it.answered) {
-                settlements_.push_back({now_ + between(1, 60), it.keeper, it.order.id,
-                                        done ? call_result::done : call_result::refused});
+                outcomes_.push_back({now_ + between(1, 60), it.manager, it.order.id,
+                                     done ? call_result::done : call_result::refused});
             }
         }
     }
 
-    bool act(const delivery& it) {
-        auto& target = backends_[it.target];
+    bool carry_out(const delivery& it) {
+        auto& target = upstreams_[it.target];
         if (!target.up || target.incarnation != it.order.target) {
             return false;
         }
@@ -262,13 +263,13 @@
         };
         if (order.kind == call_kind::grant) {
             for (const auto key : samples) {
-                if (key >= order.first && key <= order.last && target.seen[key] > order.epoch) {
+                if (key >= order.first && key <= order.last && target.highest_epochs[key] > order.epoch) {
                     return false;
                 }
             }
             for (const auto key : samples) {
                 if (key >= order.first && key <= order.last) {
-                    target.seen[key] = order.epoch;
+                    target.highest_epochs[key] = order.epoch;
                 }
             }
             target.held.push_back(
@@ -293,9 +294,9 @@
         return true;
     }
 
-    int holders(key_number key) const {
+    int owner_count(key_number key) const {
         int result = 0;
-        for (const auto& it : backends_) {
+        for (const auto& it : upstreams_) {
             const bool holds = std::any_of(it.held.begin(), it.held.end(), [&](const held_range& h) {
                 return h.first <= key && key <= h.last && h.until > now_;
             });
@@ -304,10 +305,10 @@
         return result;
     }
 
-    int count_double_owners() const {
+    int count_double_owned_keys() const {
         int result = 0;
         for (const auto key : samples) {
-            result += holders(key) > 1 ? 1 : 0;
+            result += owner_count(key) > 1 ? 1 : 0;
         }
         return result;
     }
@@ -318,14 +319,14 @@
     time_point paused_until_;
     time_point now_{std::chrono::seconds(100)};
     directory::snapshot state_;
-    std::array<backend, upstream_count> backends_;
-    std::unique_ptr<lease_manager> keeper_;
-    std::uint64_t keeper_number_ = 0;
+    std::array<simulated_upstream, upstream_count> upstreams_;
+    std::unique_ptr<lease_manager> manager_;
+    std::uint64_t manager_number_ = 0;
     std::map<std::string, upstream_condition> conditions_;
     std::map<std::string, key_loads> loads_;
     std::vector<std::pair<time_point, directory::command>> commands_;
     std::vector<delivery> deliveries_;
-    std::vector<settlement> settlements_;
+    std::vector<call_outcome> outcomes_;
 };
 
 } // namespace kingcupseam::key_ranges::test
--- a/tests/key_ranges/planner_test.cpp
+++ b/tests/key_ranges/planner_test.cpp
@@ -16,13 +16,13 @@
 }
 
 /// Ten upstreams that own equal parts of the keys.
-struct service {
+struct service_fixture {
     range_map owned;
     std::vector<key_range> movable;
     std::vector<candidate> candidates;
     key_loads load;
 
-    explicit service(int n = 10) {
+    explicit service_fixture(int n = 10) {
         const key_number width = (directory::last_key + 1) / n;
         for (int i = 0; i < n; ++i) {
             const key_number first = width * i;
@@ -50,17 +50,17 @@
 } // namespace
 
 TEST_CASE("the planner balances key ranges") {
-    service keys;
+    service_fixture fixture;
 
-    SUBCASE("nothing moves while the load fits the weights") {
-        CHECK(keys.plan().empty());
+    SUBCASE("nothing moves while the load is proportional to the weights") {
+        CHECK(fixture.plan().empty());
     }
 
-    SUBCASE("a crowded part is spread over other upstreams") {
+    SUBCASE("an overloaded part of a range is spread over other upstreams") {
         for (key_number key = 100; key < 140; ++key) {
-            keys.load.add(key, 3);
+            fixture.load.add(key, 3);
         }
-        const auto moves = keys.plan();
+        const auto moves = fixture.plan();
         REQUIRE_FALSE(moves.empty());
         CHECK(std::all_of(moves.begin(), moves.end(),
                           [](const auto& it) { return it.from == incarnation(0); }));
@@ -68,51 +68,51 @@
                           [](const auto& it) { return it.first <= 140 && it.last >= 100; }));
     }
 
-    // Guards against a planner that gave up while one key had most of the load: for nine seconds of a day
-    // with hot keys the owner kept its other keys, whose requests waited behind the hot one.
+    // Guards against a planner that moves nothing while one key has most of the load: the owner kept its
+    // other keys for 9 s, and their requests waited behind those for the hot key.
     SUBCASE("the owner of one hot key gives away its other keys") {
-        const key_number hot = keys.movable.front().first;
-        keys.load.add(hot, 200);
-        const auto moves = keys.plan();
+        const key_number hot = fixture.movable.front().first;
+        fixture.load.add(hot, 200);
+        const auto moves = fixture.plan();
         CHECK(moved_away(moves, incarnation(0)) > 2000);
         CHECK(std::none_of(moves.begin(), moves.end(), [&](const auto& it) { return it.first <= hot; }));
     }
 
-    SUBCASE("a key that is too much for a slow owner moves to a fast upstream") {
-        keys.load.add(0, 200);
-        keys.candidates[7].weight = 6;
-        const auto moves = keys.plan();
+    SUBCASE("a key that overloads a slow owner moves to a fast upstream") {
+        fixture.load.add(0, 200);
+        fixture.candidates[7].weight = 6;
+        const auto moves = fixture.plan();
         CHECK(std::any_of(moves.begin(), moves.end(),
                           [](const auto& it) { return it.first == 0 && it.target == incarnation(7); }));
     }
 
-    // Guards against a hot key that waits until its owner has given all neighbours away: on a day with hot
-    // keys its slow owner kept it for 3.3 s of a hot spell of 4 s.
-    SUBCASE("and it moves first, from the middle of its range") {
-        keys.load.add(3000, 200);
-        keys.candidates[7].weight = 6;
-        const auto moves = keys.plan();
+    // Guards against a hot key that moves only after all its neighbours: a slow owner kept it for 3.3 s of
+    // the 4 s for which it was hot.
+    SUBCASE("a hot key moves first, from the middle of its range") {
+        fixture.load.add(3000, 200);
+        fixture.candidates[7].weight = 6;
+        const auto moves = fixture.plan();
         REQUIRE_FALSE(moves.empty());
         CHECK(moves.front() == planned_move{3000, 3000, incarnation(0), incarnation(7)});
     }
 
-    SUBCASE("an owner that may not get work is emptied at once") {
-        keys.candidates.erase(keys.candidates.begin());
-        const auto moves = keys.plan();
+    SUBCASE("all keys of an owner that is no candidate move at once") {
+        fixture.candidates.erase(fixture.candidates.begin());
+        const auto moves = fixture.plan();
         CHECK(moved_away(moves, incarnation(0)) == doctest::Approx(6553));
     }
 }
 
 TEST_CASE("vacant keys go to the upstreams with the least load for their weight") {
-    service keys(4);
-    const auto first = keys.movable.front();
-    keys.owned.erase(first.first);
-    const auto moves = plan_vacant({first}, keys.owned, keys.candidates, keys.load);
+    service_fixture fixture(4);
+    const auto first = fixture.movable.front();
+    fixture.owned.erase(first.first);
+    const auto moves = plan_vacant({first}, fixture.owned, fixture.candidates, fixture.load);
     REQUIRE_FALSE(moves.empty());
     CHECK(moves.front().first == first.first);
     CHECK(moves.back().last == first.last);
     CHECK(moves.front().target == incarnation(0));
-    CHECK(plan_vacant({first}, keys.owned, {}, keys.load).empty());
+    CHECK(plan_vacant({first}, fixture.owned, {}, fixture.load).empty());
 }
 
 } // namespace kingcupseam::key_ranges
