--- a/src/hot_keys/tracker.cpp
+++ b/src/hot_keys/tracker.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-// Decaying all entries at every request would cost more than the request; ten times a second is exact enough.
+// Decaying all entries at each request would cost more than the request; ten times a second is precise
+// enough.
 constexpr duration decay_interval = std::chrono::milliseconds(100);
-// Entries below this count are forgotten, so that an idle tracker becomes empty.
-constexpr double negligible = 0.01;
+// Entries below this count are removed, so that an idle tracker becomes empty.
+constexpr double negligible_count = 0.01;
 
 double seconds(duration value) {
     return std::chrono::duration<double>(value).count();
@@ -58,23 +59,23 @@
     total_ *= factor;
     for (auto& [it, counts] : entries_) {
         counts.count *= factor;
-        counts.inherited *= factor;
+        counts.max_overestimate *= factor;
     }
-    std::erase_if(entries_, [](const auto& it) { return it.second.count < negligible; });
+    std::erase_if(entries_, [](const auto& it) { return it.second.count < negligible_count; });
 }
 
 std::vector<key_rate> tracker::hottest(time_point now) {
     decay(now);
-    // A steady rate r converges to a count of r * half_life / ln 2; before that the count is smaller in this
-    // ratio.
+    // At a steady rate r the count converges to r * half_life / ln 2; until then it is this fraction of that.
     const double half_life = seconds(settings_.half_life);
-    const double filled = 1 - std::exp2(-std::max(seconds(now - started_), 0.5) / half_life);
-    const double per_count = std::log(2.0) / half_life / filled;
+    const double converged_fraction = 1 - std::exp2(-std::max(seconds(now - started_), 0.5) / half_life);
+    const double per_count = std::log(2.0) / half_life / converged_fraction;
     std::vector<key_rate> result;
     for (const auto& [it, counts] : entries_) {
-        const double certain = counts.count - counts.inherited;
-        if (certain * per_count >= settings_.min_rate && certain >= settings_.min_share * total_) {
-            result.push_back({it.service, it.key, certain * per_count});
+        const double guaranteed_count = counts.count - counts.max_overestimate;
+        if (guaranteed_count * per_count >= settings_.min_rate &&
+            guaranteed_count >= settings_.min_share * total_) {
+            result.push_back({it.service, it.key, guaranteed_count * per_count});
         }
     }
     std::sort(result.begin(), result.end(),
