--- a/include/kingcupseam/storage.h
+++ b/include/kingcupseam/storage.h
@@ -92,9 +92,9 @@
 
     /// Called after each write that found no room, on the thread that writes.
     /// @returns true to try once more, false to let the store fail with @p failure
-    virtual bool wait_for_room(const io_error& failure) = 0;
+    virtual bool wait_for_space(const io_error& failure) = 0;
     /// The write that waited has succeeded.
-    virtual void on_room() = 0;
+    virtual void on_space_available() = 0;
 };
 
 /// Opens or creates a store in @p folder. A torn tail is cut.
--- a/src/router/disk_wait.cpp
+++ b/src/router/disk_wait.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-bool disk_wait::wait_for_room(const io_error& failure) {
+bool disk_wait::wait_for_space(const io_error& failure) {
     const time_point now = steady_now();
     if (!waiting_) {
         waiting_ = true;
@@ -29,7 +29,7 @@
     return true;
 }
 
-void disk_wait::on_room() {
+void disk_wait::on_space_available() {
     waiting_ = false;
     spdlog::info("disk has room again waited_ms={}",
                  std::chrono::duration_cast<std::chrono::milliseconds>(steady_now() - since_).count());
--- a/src/router/disk_wait.h
+++ b/src/router/disk_wait.h
@@ -9,8 +9,8 @@
 /// a disk that stalls. Gives up after a limit, so that a disk that stays full shows as a process that ends.
 class disk_wait final : public storage::full_disk_policy {
 public:
-    bool wait_for_room(const io_error& failure) override;
-    void on_room() override;
+    bool wait_for_space(const io_error& failure) override;
+    void on_space_available() override;
 
 private:
     time_point since_;
--- a/src/storage/file_log_store.cpp
+++ b/src/storage/file_log_store.cpp
@@ -122,14 +122,14 @@
                 step();
                 break;
             } catch (const io_error& e) {
-                if (!is_full(e) || !on_full_ || !on_full_->wait_for_room(e)) {
+                if (!is_full(e) || !on_full_ || !on_full_->wait_for_space(e)) {
                     throw;
                 }
                 waited = true;
             }
         }
         if (waited) {
-            on_full_->on_room();
+            on_full_->on_space_available();
         }
     }
 
--- a/tests/storage/crash_test.cpp
+++ b/tests/storage/crash_test.cpp
@@ -175,14 +175,14 @@
 class freeing_policy final : public full_disk_policy {
 public:
     freeing_policy(fake_disk& disk, int tries_until_room) : disk_(disk), left_(tries_until_room) {}
-    bool wait_for_room(const io_error&) override {
+    bool wait_for_space(const io_error&) override {
         ++waits;
         if (--left_ <= 0) {
             disk_.fail_at = -1;
         }
         return !gives_up;
     }
-    void on_room() override { ++recoveries; }
+    void on_space_available() override { ++recoveries; }
 
     int waits = 0;
     int recoveries = 0;
