--- a/include/kingcupseam/consensus.h
+++ b/include/kingcupseam/consensus.h
@@ -126,7 +126,7 @@
 
     /// Starts a membership change, one at a time.
     /// @throws not_leader, change_refused
-    std::uint64_t change(const membership_change& wanted, time_point now, effects& out);
+    std::uint64_t change_membership(const membership_change& wanted, time_point now, effects& out);
 
     /// Stores a snapshot of the state machine after applying entry @p index and drops the log before it.
     /// @throws invalid_input when the entry was not handed out in effects::committed or is already dropped
--- a/src/app/instance/replicated_group.cpp
+++ b/src/app/instance/replicated_group.cpp
@@ -59,7 +59,7 @@
 bool replicated_group::change(const consensus::membership_change& wanted) {
     consensus::effects effects;
     try {
-        node_.change(wanted, steady_now(), effects);
+        node_.change_membership(wanted, steady_now(), effects);
     } catch (const consensus::not_leader&) {
         return false;
     } catch (const consensus::change_refused&) {
--- a/src/consensus/node.cpp
+++ b/src/consensus/node.cpp
@@ -171,7 +171,7 @@
     return index;
 }
 
-std::uint64_t node::change(const membership_change& wanted, time_point now, effects& out) {
+std::uint64_t node::change_membership(const membership_change& wanted, time_point now, effects& out) {
     state& s = *state_;
     s.now = now;
     if (s.current != role::leader) {
--- a/tests/consensus/fake_network.cpp
+++ b/tests/consensus/fake_network.cpp
@@ -211,7 +211,7 @@
     }
     effects out;
     try {
-        it.node->change(*wanted, now_, out);
+        it.node->change_membership(*wanted, now_, out);
         ++changes_started_;
     } catch (const change_refused&) {
         return; // the no-op of a new leader is not committed yet
@@ -301,7 +301,7 @@
     }
     effects out;
     try {
-        at(name).node->change(wanted, now_, out);
+        at(name).node->change_membership(wanted, now_, out);
     } catch (const change_refused&) {
         return false;
     }
--- a/tests/consensus/node_test.cpp
+++ b/tests/consensus/node_test.cpp
@@ -137,15 +137,16 @@
     node it(settings_of(a), *store, at(0ms));
     effects out;
     CHECK_THROWS_AS(it.propose("x", at(0ms), out), not_leader);
-    CHECK_THROWS_AS(it.change({change_kind::add_learner, b}, at(0ms), out), not_leader);
+    CHECK_THROWS_AS(it.change_membership({change_kind::add_learner, b}, at(0ms), out), not_leader);
     elect_alone(it);
-    CHECK_THROWS_AS(it.change({change_kind::promote, b}, at(1s), out), change_refused);
-    CHECK_THROWS_AS(it.change({change_kind::remove, b}, at(1s), out), change_refused);
-    CHECK_THROWS_AS(it.change({change_kind::remove, a}, at(1s), out), change_refused);
-    it.change({change_kind::add_learner, b}, at(1s), out);
+    CHECK_THROWS_AS(it.change_membership({change_kind::promote, b}, at(1s), out), change_refused);
+    CHECK_THROWS_AS(it.change_membership({change_kind::remove, b}, at(1s), out), change_refused);
+    CHECK_THROWS_AS(it.change_membership({change_kind::remove, a}, at(1s), out), change_refused);
+    it.change_membership({change_kind::add_learner, b}, at(1s), out);
     CHECK_FALSE(it.change_in_progress());
-    CHECK_THROWS_AS(it.change({change_kind::add_learner, b}, at(1s), out), change_refused);
-    CHECK_THROWS_AS(it.change({change_kind::promote, b}, at(1s), out), change_refused); // has nothing yet
+    CHECK_THROWS_AS(it.change_membership({change_kind::add_learner, b}, at(1s), out), change_refused);
+    CHECK_THROWS_AS(it.change_membership({change_kind::promote, b}, at(1s), out),
+                    change_refused); // has nothing yet
 }
 
 TEST_CASE("a leader without a quorum steps down within an election timeout") {
