--- a/src/ledger/writer_replies.cpp
+++ b/src/ledger/writer_replies.cpp
@@ -74,7 +74,7 @@
     operation& current = it->second;
     if (current.kind == operation::type::begin && !reply.accepted) {
         if (reply.sealed_epoch > current.epoch) {
-            fence(current, out);
+            end_as_stale(current, out);
             return;
         }
         if (reply.existing && reply.existing->state == record_state::answered) {
@@ -96,7 +96,7 @@
     }
     operation& current = it->second;
     if (!reply.accepted && reply.sealed_epoch > current.epoch && !current.decided) {
-        fence(current, out);
+        end_as_stale(current, out);
         return;
     }
     for (const auto& seen : reply.window) {
@@ -210,7 +210,7 @@
     start(std::move(wanted), out);
 }
 
-void writer::state::fence(operation& current, effects& out) {
+void writer::state::end_as_stale(operation& current, effects& out) {
     const operation ended = std::move(current);
     operations.erase(ended.id);
     gate_shard& shard = shards.at(ended.shard);
--- a/src/ledger/writer_state.h
+++ b/src/ledger/writer_state.h
@@ -108,7 +108,7 @@
     void learn_existing(operation& current, const record& existing, effects& out);
     void settle_begin(const operation& current, verdict result, const record& known, effects& out);
     void clean_up(const operation& failed, effects& out);
-    void fence(operation& current, effects& out);
+    void end_as_stale(operation& current, effects& out);
     void take_window(gate_shard& shard, const operation& seal);
     void end_seal(gate_shard& shard, verdict result, effects& out);
     void keep(gate_shard& shard, const shard_id& id, const std::string& key);
