--- a/benchmark/ledger_throughput.cpp
+++ b/benchmark/ledger_throughput.cpp
@@ -77,9 +77,9 @@
                          (reply.existing ? reply.existing->answer.size() : 0);
                 deliver(writer_.on_write_reply(it.operation, it.replica, reply, now_));
             } else {
-                const auto reply = copy.seal(it.seal->first, it.seal->second, it.epoch, now_);
+                const auto reply = copy.fence(it.fence->first, it.fence->second, it.epoch, now_);
                 bytes += 2 * (frame_bytes + field_bytes);
-                deliver(writer_.on_seal_reply(it.operation, it.replica, reply, now_));
+                deliver(writer_.on_fence_reply(it.operation, it.replica, reply, now_));
             }
         }
     }
--- a/include/kingcupseam/ledger.h
+++ b/include/kingcupseam/ledger.h
@@ -36,13 +36,13 @@
 
 struct write_result {
     bool accepted = false;
-    std::uint64_t sealed_epoch = 0;
+    std::uint64_t fenced_epoch = 0;
     std::optional<record> existing; ///< what the replica already held for the key
 };
 
-struct seal_result {
+struct fence_result {
     bool accepted = false;
-    std::uint64_t sealed_epoch = 0;
+    std::uint64_t fenced_epoch = 0;
     std::vector<record> window;
 };
 
@@ -50,7 +50,7 @@
 struct shard_window {
     std::string service;
     std::uint32_t shard = 0;
-    std::uint64_t sealed_epoch = 0;
+    std::uint64_t fenced_epoch = 0;
     std::vector<record> records;
     bool operator==(const shard_window&) const = default;
 };
@@ -76,7 +76,7 @@
     /// record forgotten; an answer longer than the bound is refused and its record stays `begun`.
     write_result write(const record& wanted, time_point now);
     /// Raises the shard's epoch and returns its window.
-    seal_result seal(const std::string& service, std::uint32_t shard, std::uint64_t epoch, time_point now);
+    fence_result fence(const std::string& service, std::uint32_t shard, std::uint64_t epoch, time_point now);
     /// Takes over windows copied from other replicas and serves from then on. A record at a majority of three
     /// may be left at only one of the other two, so @p windows must hold the windows of both. They must have
     /// been read with seal() at a new epoch of the shard; otherwise a write that the lost replica accepted
@@ -120,7 +120,7 @@
     std::uint64_t operation = 0;
     std::string replica; ///< instance name
     std::optional<record> write;
-    std::optional<std::pair<std::string, std::uint32_t>> seal; ///< service and shard
+    std::optional<std::pair<std::string, std::uint32_t>> fence; ///< service and shard
     std::uint64_t epoch = 0;
 };
 
@@ -165,8 +165,8 @@
 
     std::vector<outgoing> on_write_reply(std::uint64_t operation, const std::string& from,
                                          const write_result& reply, time_point now);
-    std::vector<outgoing> on_seal_reply(std::uint64_t operation, const std::string& from,
-                                        const seal_result& reply, time_point now);
+    std::vector<outgoing> on_fence_reply(std::uint64_t operation, const std::string& from,
+                                         const fence_result& reply, time_point now);
     std::vector<outgoing> on_replica_failed(std::uint64_t operation, const std::string& from, time_point now);
     /// Fails operations that are older than the timeout.
     std::vector<outgoing> tick(time_point now);
--- a/src/app/instance/ledger_host.cpp
+++ b/src/app/instance/ledger_host.cpp
@@ -166,12 +166,12 @@
 
 void ledger_host::send_seal(const ledger::outgoing& message) {
     const time_point now = steady_now();
-    const auto& [service, shard] = *message.seal;
+    const auto& [service, shard] = *message.fence;
     if (message.replica == self_) {
         auto* const replica = local_replica(shard);
         const auto result =
-            replica == nullptr ? ledger::seal_result{} : replica->seal(service, shard, message.epoch, now);
-        send(writer_.on_seal_reply(message.operation, self_, result, now));
+            replica == nullptr ? ledger::fence_result{} : replica->fence(service, shard, message.epoch, now);
+        send(writer_.on_fence_reply(message.operation, self_, result, now));
         return;
     }
     auto* const link = link_to(message.replica);
@@ -179,12 +179,12 @@
         send(writer_.on_replica_failed(message.operation, message.replica, now));
         return;
     }
-    wire::LedgerSeal seal;
-    seal.service_name = service;
-    seal.shard = static_cast<std::int32_t>(shard);
-    seal.epoch = static_cast<std::int64_t>(message.epoch);
+    wire::LedgerSeal fence;
+    fence.service_name = service;
+    fence.shard = static_cast<std::int32_t>(shard);
+    fence.epoch = static_cast<std::int64_t>(message.epoch);
     link->request(
-        {transport::frame_type::ledger_seal, 0, transport::encode(seal)}, operation_timeout,
+        {transport::frame_type::ledger_seal, 0, transport::encode(fence)}, operation_timeout,
         [this, message](const transport::reply& it) {
             const time_point received = steady_now();
             if (!it.answer) {
@@ -192,11 +192,11 @@
                 return;
             }
             const auto reply = transport::decode<wire::LedgerSealReply>(it.answer->payload);
-            ledger::seal_result result{reply.accepted, static_cast<std::uint64_t>(reply.sealed_epoch), {}};
+            ledger::fence_result result{reply.accepted, static_cast<std::uint64_t>(reply.sealed_epoch), {}};
             for (const auto& record : reply.window) {
                 result.window.push_back(record_from_wire(record));
             }
-            send(writer_.on_seal_reply(message.operation, message.replica, result, received));
+            send(writer_.on_fence_reply(message.operation, message.replica, result, received));
         });
 }
 
@@ -206,7 +206,7 @@
                                            : replica->write(record_from_wire(received), steady_now());
     wire::LedgerRecordReply reply;
     reply.accepted = result.accepted;
-    reply.sealed_epoch = static_cast<std::int64_t>(result.sealed_epoch);
+    reply.sealed_epoch = static_cast<std::int64_t>(result.fenced_epoch);
     if (result.existing) {
         reply.__set_existing(to_wire(*result.existing));
     }
@@ -217,12 +217,12 @@
     const auto shard = static_cast<std::uint32_t>(received.shard);
     auto* const replica = local_replica(shard);
     const auto result = replica == nullptr
-                            ? ledger::seal_result{}
-                            : replica->seal(received.service_name, shard,
-                                            static_cast<std::uint64_t>(received.epoch), steady_now());
+                            ? ledger::fence_result{}
+                            : replica->fence(received.service_name, shard,
+                                             static_cast<std::uint64_t>(received.epoch), steady_now());
     wire::LedgerSealReply reply;
     reply.accepted = result.accepted;
-    reply.sealed_epoch = static_cast<std::int64_t>(result.sealed_epoch);
+    reply.sealed_epoch = static_cast<std::int64_t>(result.fenced_epoch);
     for (const auto& it : result.window) {
         reply.window.push_back(to_wire(it));
     }
--- a/src/ledger/replica.cpp
+++ b/src/ledger/replica.cpp
@@ -20,7 +20,7 @@
 using window_map = std::unordered_map<std::string, compact_record>;
 
 struct shard_state {
-    std::uint64_t sealed_epoch = 0;
+    std::uint64_t fenced_epoch = 0;
     window_map records;
 };
 
@@ -142,12 +142,12 @@
         return {};
     }
     shard_state& shard = s.shards[{wanted.service, wanted.shard}];
-    if (wanted.epoch < shard.sealed_epoch) {
-        return {false, shard.sealed_epoch, {}};
+    if (wanted.epoch < shard.fenced_epoch) {
+        return {false, shard.fenced_epoch, {}};
     }
-    shard.sealed_epoch = wanted.epoch;
+    shard.fenced_epoch = wanted.epoch;
     const auto it = shard.records.find(wanted.key);
-    write_result result{false, shard.sealed_epoch, {}};
+    write_result result{false, shard.fenced_epoch, {}};
     if (it == shard.records.end()) {
         result.accepted = wanted.state != record_state::absent && s.fits(wanted, nullptr);
     } else {
@@ -164,19 +164,19 @@
     return result;
 }
 
-seal_result replica::seal(const std::string& service, std::uint32_t shard, std::uint64_t epoch,
-                          time_point now) {
+fence_result replica::fence(const std::string& service, std::uint32_t shard, std::uint64_t epoch,
+                            time_point now) {
     auto& s = *state_;
     s.drop_expired(now);
     if (!s.is_ready) {
         return {};
     }
     shard_state& found = s.shards[{service, shard}];
-    if (epoch < found.sealed_epoch) {
-        return {false, found.sealed_epoch, {}};
+    if (epoch < found.fenced_epoch) {
+        return {false, found.fenced_epoch, {}};
     }
-    found.sealed_epoch = epoch;
-    seal_result result{true, epoch, {}};
+    found.fenced_epoch = epoch;
+    fence_result result{true, epoch, {}};
     result.window.reserve(found.records.size());
     for (const auto& [key, it] : found.records) {
         result.window.push_back(state::expand(service, shard, key, it));
@@ -189,7 +189,7 @@
     s.drop_expired(now);
     for (const auto& window : windows) {
         shard_state& shard = s.shards[{window.service, window.shard}];
-        shard.sealed_epoch = std::max(shard.sealed_epoch, window.sealed_epoch);
+        shard.fenced_epoch = std::max(shard.fenced_epoch, window.fenced_epoch);
         for (const auto& it : window.records) {
             const auto known = shard.records.find(it.key);
             if (known == shard.records.end() ||
--- a/src/ledger/writer.cpp
+++ b/src/ledger/writer.cpp
@@ -49,8 +49,8 @@
     return out.run();
 }
 
-std::vector<outgoing> writer::on_seal_reply(std::uint64_t operation, const std::string& from,
-                                            const seal_result& reply, time_point now) {
+std::vector<outgoing> writer::on_fence_reply(std::uint64_t operation, const std::string& from,
+                                             const fence_result& reply, time_point now) {
     state::effects out;
     state_->now = now;
     state_->on_seal(operation, from, reply, out);
--- a/src/ledger/writer_replies.cpp
+++ b/src/ledger/writer_replies.cpp
@@ -45,8 +45,8 @@
             continue;
         }
         outgoing message{wanted.id, it, {}, {}, wanted.epoch};
-        if (wanted.kind == operation::type::seal) {
-            message.seal = wanted.shard;
+        if (wanted.kind == operation::type::fence) {
+            message.fence = wanted.shard;
         } else {
             message.write = wanted.wanted;
         }
@@ -56,7 +56,7 @@
 
 void writer::state::start_seal(gate_shard& shard, const shard_id& id, effects& out) {
     operation wanted;
-    wanted.kind = operation::type::seal;
+    wanted.kind = operation::type::fence;
     wanted.shard = id;
     wanted.epoch = shard.epoch;
     wanted.replicas = shard.replicas;
@@ -67,13 +67,13 @@
 void writer::state::on_write(std::uint64_t id, const std::string& from, const write_result& reply,
                              effects& out) {
     const auto it = operations.find(id);
-    if (it == operations.end() || it->second.kind == operation::type::seal ||
+    if (it == operations.end() || it->second.kind == operation::type::fence ||
         !it->second.count(from, reply.accepted)) {
         return;
     }
     operation& current = it->second;
     if (current.kind == operation::type::begin && !reply.accepted) {
-        if (reply.sealed_epoch > current.epoch) {
+        if (reply.fenced_epoch > current.epoch) {
             end_as_stale(current, out);
             return;
         }
@@ -87,15 +87,15 @@
     evaluate(current, out);
 }
 
-void writer::state::on_seal(std::uint64_t id, const std::string& from, const seal_result& reply,
+void writer::state::on_seal(std::uint64_t id, const std::string& from, const fence_result& reply,
                             effects& out) {
     const auto it = operations.find(id);
-    if (it == operations.end() || it->second.kind != operation::type::seal ||
+    if (it == operations.end() || it->second.kind != operation::type::fence ||
         !it->second.count(from, reply.accepted)) {
         return;
     }
     operation& current = it->second;
-    if (!reply.accepted && reply.sealed_epoch > current.epoch && !current.decided) {
+    if (!reply.accepted && reply.fenced_epoch > current.epoch && !current.decided) {
         end_as_stale(current, out);
         return;
     }
@@ -139,7 +139,7 @@
 
 void writer::state::evaluate(operation& current, effects& out) {
     switch (current.kind) {
-    case operation::type::seal:
+    case operation::type::fence:
         evaluate_seal(current, out);
         break;
     case operation::type::begin:
@@ -214,7 +214,7 @@
     const operation ended = std::move(current);
     operations.erase(ended.id);
     gate_shard& shard = shards.at(ended.shard);
-    if (ended.kind == operation::type::seal) {
+    if (ended.kind == operation::type::fence) {
         end_seal(shard, verdict::stale, out);
         return;
     }
@@ -268,8 +268,8 @@
     }
 }
 
-void writer::state::take_window(gate_shard& shard, const operation& seal) {
-    for (const auto& [key, seen] : seal.window) {
+void writer::state::take_window(gate_shard& shard, const operation& fence) {
+    for (const auto& [key, seen] : fence.window) {
         const auto it = shard.keys.find(key);
         const bool unknown = it == shard.keys.end();
         // After the majority, a late window can only add answers: its `begun` records were never dispatched,
@@ -280,7 +280,7 @@
         }
         shard.keys[key].known = seen;
         shard.keys[key].stage = phase::settled;
-        keep(shard, seal.shard, key);
+        keep(shard, fence.shard, key);
     }
 }
 
--- a/src/ledger/writer_requests.cpp
+++ b/src/ledger/writer_requests.cpp
@@ -46,7 +46,7 @@
     for (auto it = operations.begin(); it != operations.end();) {
         const operation current = it->second;
         const bool obsolete = current.shard == id && (current.kind == operation::type::begin ||
-                                                      current.kind == operation::type::seal);
+                                                      current.kind == operation::type::fence);
         it = obsolete ? operations.erase(it) : std::next(it);
         if (obsolete && current.kind == operation::type::begin) {
             settle_begin(current, verdict::stale, current.wanted, out);
--- a/src/ledger/writer_state.h
+++ b/src/ledger/writer_state.h
@@ -40,7 +40,7 @@
 };
 
 struct operation {
-    enum class type : std::uint8_t { seal, begin, finish, cleanup };
+    enum class type : std::uint8_t { fence, begin, finish, cleanup };
     type kind = type::cleanup;
     std::uint64_t id = 0;
     shard_id shard;
@@ -81,7 +81,7 @@
     void finish(const record& result, const on_done& done, effects& out);
     void abandon(const shard_id& id, const std::string& key, effects& out);
     void on_write(std::uint64_t id, const std::string& from, const write_result& reply, effects& out);
-    void on_seal(std::uint64_t id, const std::string& from, const seal_result& reply, effects& out);
+    void on_seal(std::uint64_t id, const std::string& from, const fence_result& reply, effects& out);
     void fail(std::uint64_t id, const std::string& from, effects& out);
     void expire_operations(effects& out);
     void drop_expired_keys();
@@ -109,7 +109,7 @@
     void settle_begin(const operation& current, verdict result, const record& known, effects& out);
     void clean_up(const operation& failed, effects& out);
     void end_as_stale(operation& current, effects& out);
-    void take_window(gate_shard& shard, const operation& seal);
+    void take_window(gate_shard& shard, const operation& fence);
     void end_seal(gate_shard& shard, verdict result, effects& out);
     void keep(gate_shard& shard, const shard_id& id, const std::string& key);
     bool resend(operation& current, effects& out);
--- a/tests/ledger/replica_test.cpp
+++ b/tests/ledger/replica_test.cpp
@@ -32,12 +32,12 @@
 TEST_CASE("a replica keeps what a later gate must know") {
     replica tested({});
     SUBCASE("a write below the sealed epoch is refused, so a replaced gate cannot record anything") {
-        CHECK(tested.seal("s", 1, 7, start).accepted);
+        CHECK(tested.fence("s", 1, 7, start).accepted);
         const auto reply = tested.write(begun(6, 1), start);
         CHECK_FALSE(reply.accepted);
-        CHECK(reply.sealed_epoch == 7);
-        CHECK_FALSE(tested.seal("s", 1, 6, start).accepted);
-        CHECK(tested.seal("s", 1, 7, start).accepted);
+        CHECK(reply.fenced_epoch == 7);
+        CHECK_FALSE(tested.fence("s", 1, 6, start).accepted);
+        CHECK(tested.fence("s", 1, 7, start).accepted);
         CHECK(tested.size() == 0);
         CHECK(tested.write({"s", 2, "k", 1, 1, record_state::begun, 0, "", "d"}, start).accepted);
     }
@@ -50,7 +50,7 @@
         CHECK(tested.write(answered(2, 1), start).accepted);
         CHECK_FALSE(tested.write(begun(3, 9), start).accepted);
         CHECK_FALSE(tested.write(not_run(3, 9), start).accepted);
-        CHECK(tested.seal("s", 1, 4, start).window == std::vector<record>{answered(2, 1)});
+        CHECK(tested.fence("s", 1, 4, start).window == std::vector<record>{answered(2, 1)});
     }
     SUBCASE("a key that did not run begins again, but a late begun of the old attempt does not revive it") {
         tested.write(begun(1, 1), start);
@@ -63,7 +63,7 @@
         tested.write(not_run(1, 1), start);
         tested.write(begun(1, 2), start);
         CHECK_FALSE(tested.write(not_run(1, 1), start).accepted);
-        CHECK(tested.seal("s", 1, 2, start).window.at(0).state == record_state::begun);
+        CHECK(tested.fence("s", 1, 2, start).window.at(0).state == record_state::begun);
     }
 }
 
@@ -87,7 +87,7 @@
         tested.write(begun(1, 1), start);
         CHECK_FALSE(
             tested.write(make("k", 1, 1, record_state::answered, std::string(101, 'x')), start).accepted);
-        CHECK(tested.seal("s", 1, 2, start).window.at(0).state == record_state::begun);
+        CHECK(tested.fence("s", 1, 2, start).window.at(0).state == record_state::begun);
     }
     SUBCASE("the byte bound holds and bytes return to zero") {
         settings.max_total_bytes = 1000;
@@ -100,7 +100,7 @@
         }
         CHECK(accepted < 10);
         CHECK(small.size() == accepted);
-        small.seal("s", 1, 1, start + 11s);
+        small.fence("s", 1, 1, start + 11s);
         CHECK(small.size() == 0);
         CHECK(small.bytes() == 0);
     }
@@ -109,7 +109,7 @@
 TEST_CASE("a replica that lost its records serves only after it got the windows of the others") {
     replica tested({}, replica_start::awaiting_install);
     CHECK_FALSE(tested.write(begun(1, 1), start).accepted);
-    CHECK_FALSE(tested.seal("s", 1, 9, start).accepted);
+    CHECK_FALSE(tested.fence("s", 1, 9, start).accepted);
     SUBCASE("the most telling record of each key is kept, in any order of the windows") {
         for (const bool swapped : {false, true}) {
             replica copy({}, replica_start::awaiting_install);
@@ -120,7 +120,7 @@
             CHECK(copy.size() == 2);
             CHECK(copy.shards().size() == 1);
             CHECK_FALSE(copy.write(make("x", 4, 1, record_state::begun), start).accepted);
-            auto window = copy.seal("s", 1, 6, start).window;
+            auto window = copy.fence("s", 1, 6, start).window;
             std::sort(window.begin(), window.end(),
                       [](const auto& l, const auto& r) { return l.key < r.key; });
             CHECK(window.at(0) == answered(3, 2));
--- a/tests/ledger/world.h
+++ b/tests/ledger/world.h
@@ -203,7 +203,7 @@
                     [this, from, message, incarnation] { deliver(from, message, incarnation); });
             return;
         }
-        if (message.seal) {
+        if (message.fence) {
             reply_to_seal(from, message, target);
         } else {
             reply_to_write(from, message, target);
@@ -213,9 +213,9 @@
     void reply_to_write(const std::string& from, const outgoing& message, node& target) {
         const record& wanted = *message.write;
         auto reply = target.copy.write(wanted, now_);
-        if (options_.replicas_ignore_epoch && !reply.accepted && reply.sealed_epoch > wanted.epoch) {
+        if (options_.replicas_ignore_epoch && !reply.accepted && reply.fenced_epoch > wanted.epoch) {
             record raised = wanted;
-            raised.epoch = reply.sealed_epoch;
+            raised.epoch = reply.fenced_epoch;
             reply = target.copy.write(raised, now_);
         }
         if (options_.late_not_run_replaces && !reply.accepted && reply.existing &&
@@ -238,14 +238,14 @@
     }
 
     void reply_to_seal(const std::string& from, const outgoing& message, node& target) {
-        auto reply = target.copy.seal(message.seal->first, message.seal->second, message.epoch, now_);
+        auto reply = target.copy.fence(message.fence->first, message.fence->second, message.epoch, now_);
         for (auto& it : reply.window) {
             if (options_.answers_cut && !it.answer.empty()) {
                 it.answer.pop_back();
             }
         }
         reply_later(from, [message, reply](ledger::writer& it, time_point now) {
-            return it.on_seal_reply(message.operation, message.replica, reply, now);
+            return it.on_fence_reply(message.operation, message.replica, reply, now);
         });
     }
 
@@ -273,7 +273,7 @@
                 return false;
             }
             for (const auto& [service, shard] : it.copy.shards()) {
-                windows.push_back({service, shard, epoch, it.copy.seal(service, shard, epoch, now_).window});
+                windows.push_back({service, shard, epoch, it.copy.fence(service, shard, epoch, now_).window});
             }
         }
         target.copy.install(windows, now_);
--- a/tests/ledger/writer_test.cpp
+++ b/tests/ledger/writer_test.cpp
@@ -21,13 +21,13 @@
     std::vector<decision> told;
 
     by_hand() {
-        const auto seal = begin(make("first"));
-        REQUIRE(seal.size() == 3);
-        REQUIRE(seal[0].seal);
-        tested.on_seal_reply(seal[0].operation, "r1", {true, 5, {}}, start);
-        const auto writes = tested.on_seal_reply(seal[0].operation, "r2", {true, 5, {}}, start);
+        const auto fence = begin(make("first"));
+        REQUIRE(fence.size() == 3);
+        REQUIRE(fence[0].fence);
+        tested.on_fence_reply(fence[0].operation, "r1", {true, 5, {}}, start);
+        const auto writes = tested.on_fence_reply(fence[0].operation, "r2", {true, 5, {}}, start);
         REQUIRE(writes.size() == 3);
-        tested.on_seal_reply(seal[0].operation, "r3", {true, 5, {}}, start);
+        tested.on_fence_reply(fence[0].operation, "r3", {true, 5, {}}, start);
         reply(writes[0].operation, "r1", true);
         reply(writes[0].operation, "r2", true);
         REQUIRE(told.size() == 1);
@@ -116,9 +116,9 @@
         CHECK(it.told[1].result == verdict::unavailable);
     }
     SUBCASE("a higher epoch of the same gate seals again and ends what was being written") {
-        const auto seal = it.begin(make("other", 6));
-        REQUIRE(seal.size() == 3);
-        CHECK(seal[0].seal);
+        const auto fence = it.begin(make("other", 6));
+        REQUIRE(fence.size() == 3);
+        CHECK(fence[0].fence);
         REQUIRE(it.told.size() == 1);
         CHECK(it.told[0].result == verdict::stale);
         CHECK(it.begin(make("k", 5)).empty());
@@ -200,8 +200,8 @@
         nested = tested.finish(
             result, {"r1"}, [&](bool majority) { recorded = majority; }, start);
     };
-    const auto seal = tested.begin(make("k"), {"r1"}, on_decision, start);
-    const auto write = tested.on_seal_reply(seal.at(0).operation, "r1", {true, 5, {}}, start);
+    const auto fence = tested.begin(make("k"), {"r1"}, on_decision, start);
+    const auto write = tested.on_fence_reply(fence.at(0).operation, "r1", {true, 5, {}}, start);
     tested.on_write_reply(write.at(0).operation, "r1", {true, 5, {}}, start);
     REQUIRE(nested.size() == 1);
     tested.on_write_reply(nested[0].operation, "r1", {true, 5, {}}, start);
@@ -269,9 +269,9 @@
         }
     }
     SUBCASE("an unsealed shard is sealed first, once for all checks that wait") {
-        const auto seal = check(make("k", 6));
-        REQUIRE(seal.size() == 3);
-        CHECK(seal[0].seal);
+        const auto fence = check(make("k", 6));
+        REQUIRE(fence.size() == 3);
+        CHECK(fence[0].fence);
         CHECK(it.told.empty());
         int also_told = 0;
         const auto second = it.tested.check(
@@ -279,23 +279,23 @@
         CHECK(second.empty());
         SUBCASE("an earlier run in the window of one replica of a majority is found") {
             const record begun = make("k", 5);
-            it.tested.on_seal_reply(seal[0].operation, "r1", {true, 6, {}}, start);
+            it.tested.on_fence_reply(fence[0].operation, "r1", {true, 6, {}}, start);
             CHECK(it.told.empty());
-            CHECK(it.tested.on_seal_reply(seal[0].operation, "r2", {true, 6, {begun}}, start).empty());
+            CHECK(it.tested.on_fence_reply(fence[0].operation, "r2", {true, 6, {begun}}, start).empty());
             REQUIRE(it.told.size() == 1);
             CHECK(it.told[0].result == verdict::in_doubt);
             CHECK(it.told[0].known);
             CHECK(also_told == 1);
         }
         SUBCASE("a window that no majority lets this gate read is in doubt") {
-            it.tested.on_replica_failed(seal[0].operation, "r1", start);
+            it.tested.on_replica_failed(fence[0].operation, "r1", start);
             it.tested.tick(start + 30ms);
             REQUIRE(it.told.size() == 1);
             CHECK(it.told[0].result == verdict::in_doubt);
             CHECK_FALSE(it.told[0].known);
         }
         SUBCASE("a replica that knows a higher epoch makes the gate stale") {
-            it.tested.on_seal_reply(seal[0].operation, "r1", {false, 9, {}}, start);
+            it.tested.on_fence_reply(fence[0].operation, "r1", {false, 9, {}}, start);
             REQUIRE(it.told.size() == 1);
             CHECK(it.told[0].result == verdict::stale);
         }
@@ -308,12 +308,12 @@
         replica tested({.retention = 10s});
         CHECK(tested.write(make("k"), start).accepted);
         tested.set_retention(60s);
-        tested.seal("s", 1, 5, start + 30s);
+        tested.fence("s", 1, 5, start + 30s);
         CHECK(tested.size() == 1);
         tested.set_retention(5s);
-        tested.seal("s", 1, 5, start + 59s);
+        tested.fence("s", 1, 5, start + 59s);
         CHECK(tested.size() == 1);
-        tested.seal("s", 1, 5, start + 61s);
+        tested.fence("s", 1, 5, start + 61s);
         CHECK(tested.size() == 0);
     }
     SUBCASE("writer") {
