--- a/benchmark/ledger_throughput.cpp
+++ b/benchmark/ledger_throughput.cpp
@@ -67,7 +67,7 @@
     std::size_t bytes = 0;
 
 private:
-    void deliver(const std::vector<outgoing>& sent) {
+    void deliver(const std::vector<replica_request>& sent) {
         for (const auto& it : sent) {
             replica& copy = copies_.at(std::size_t(it.replica.back() - '1'));
             messages += 2;
--- a/include/kingcupseam/ledger.h
+++ b/include/kingcupseam/ledger.h
@@ -116,7 +116,7 @@
 };
 
 /// A write or seal to be sent to one replica; the caller transports it and reports the result.
-struct outgoing {
+struct replica_request {
     std::uint64_t operation = 0;
     std::string replica; ///< instance name
     std::optional<record> write;
@@ -144,32 +144,33 @@
     /// of @p wanted with these replicas. An epoch belongs to one lifetime of one gate.
     /// @param replicas names of the shard's ledger replicas; a replaced replica needs a new epoch
     /// @returns messages to send; @p done is called once, possibly before this returns
-    std::vector<outgoing> begin(const record& wanted, const std::vector<std::string>& replicas,
-                                const on_decision& done, time_point now);
+    std::vector<replica_request> begin(const record& wanted, const std::vector<std::string>& replicas,
+                                       const on_decision& done, time_point now);
     /// Reports what the window says of a key without recording anything, for a request that is refused before
     /// begin(). Seals and reads the shard first as begin() does; a sealed shard is only looked up in memory.
     /// @param done called once, possibly before this returns, with `answer`, `in_doubt` (an attempt may run
     /// or have run, or the window cannot be read), `conflict`, `stale`, or `unavailable`: the window shows no
     /// run
-    std::vector<outgoing> check(const record& wanted, const std::vector<std::string>& replicas,
-                                const on_decision& done, time_point now);
+    std::vector<replica_request> check(const record& wanted, const std::vector<std::string>& replicas,
+                                       const on_decision& done, time_point now);
     /// Records the result of a dispatched request: `answered`, or `not_run` when the upstream confirmed that
     /// it did not start. Duplicates that wait get it at once; resends get it from the window. A result for a
     /// key that this writer did not dispatch is ignored.
     /// @param done called once; false means that later gates may answer `unknown`
-    std::vector<outgoing> finish(const record& result, const std::vector<std::string>& replicas,
-                                 const on_done& done, time_point now);
+    std::vector<replica_request> finish(const record& result, const std::vector<std::string>& replicas,
+                                        const on_done& done, time_point now);
     /// The outcome of a dispatched request is not known: later resends get in_doubt, waiting duplicates get
     /// it now. A later finish() may still record the answer.
     void abandon(const std::string& service, std::uint32_t shard, const std::string& key);
 
-    std::vector<outgoing> on_write_reply(std::uint64_t operation, const std::string& from,
-                                         const write_result& reply, time_point now);
-    std::vector<outgoing> on_fence_reply(std::uint64_t operation, const std::string& from,
-                                         const fence_result& reply, time_point now);
-    std::vector<outgoing> on_replica_failed(std::uint64_t operation, const std::string& from, time_point now);
+    std::vector<replica_request> on_write_reply(std::uint64_t operation, const std::string& from,
+                                                const write_result& reply, time_point now);
+    std::vector<replica_request> on_fence_reply(std::uint64_t operation, const std::string& from,
+                                                const fence_result& reply, time_point now);
+    std::vector<replica_request> on_replica_failed(std::uint64_t operation, const std::string& from,
+                                                   time_point now);
     /// Fails operations that are older than the timeout.
-    std::vector<outgoing> tick(time_point now);
+    std::vector<replica_request> tick(time_point now);
     /// Operations that still wait for replies.
     std::size_t pending() const noexcept;
 
--- a/src/app/instance/ledger_host.cpp
+++ b/src/app/instance/ledger_host.cpp
@@ -114,7 +114,7 @@
     }
 }
 
-void ledger_host::send(const std::vector<ledger::outgoing>& messages) {
+void ledger_host::send(const std::vector<ledger::replica_request>& messages) {
     for (const auto& it : messages) {
         if (it.write) {
             send_write(it);
@@ -134,7 +134,7 @@
     return &mesh_.link_to(id.name, traffic_address(it->second.address));
 }
 
-void ledger_host::send_write(const ledger::outgoing& message) {
+void ledger_host::send_write(const ledger::replica_request& message) {
     const time_point now = steady_now();
     if (message.replica == self_) {
         auto* const replica = local_replica(message.write->shard);
@@ -164,7 +164,7 @@
         });
 }
 
-void ledger_host::send_seal(const ledger::outgoing& message) {
+void ledger_host::send_seal(const ledger::replica_request& message) {
     const time_point now = steady_now();
     const auto& [service, shard] = *message.fence;
     if (message.replica == self_) {
--- a/src/app/instance/ledger_host.h
+++ b/src/app/instance/ledger_host.h
@@ -59,9 +59,9 @@
                         std::uint64_t epoch);
     void on_window(std::optional<ledger::shard_window> window);
     std::vector<std::string> replicas_of(std::uint32_t shard) const;
-    void send(const std::vector<ledger::outgoing>& messages);
-    void send_write(const ledger::outgoing& message);
-    void send_seal(const ledger::outgoing& message);
+    void send(const std::vector<ledger::replica_request>& messages);
+    void send_write(const ledger::replica_request& message);
+    void send_seal(const ledger::replica_request& message);
     transport::peer_link* link_to(const std::string& replica);
 
     std::string self_;
--- a/src/ledger/writer.cpp
+++ b/src/ledger/writer.cpp
@@ -9,8 +9,8 @@
     state_->set_retention(retention);
 }
 
-std::vector<outgoing> writer::begin(const record& wanted, const std::vector<std::string>& replicas,
-                                    const on_decision& done, time_point now) {
+std::vector<replica_request> writer::begin(const record& wanted, const std::vector<std::string>& replicas,
+                                           const on_decision& done, time_point now) {
     state::effects out;
     state_->now = now;
     state_->drop_expired_keys();
@@ -18,8 +18,8 @@
     return out.run();
 }
 
-std::vector<outgoing> writer::check(const record& wanted, const std::vector<std::string>& replicas,
-                                    const on_decision& done, time_point now) {
+std::vector<replica_request> writer::check(const record& wanted, const std::vector<std::string>& replicas,
+                                           const on_decision& done, time_point now) {
     state::effects out;
     state_->now = now;
     state_->drop_expired_keys();
@@ -27,8 +27,9 @@
     return out.run();
 }
 
-std::vector<outgoing> writer::finish(const record& result, const std::vector<std::string>& /*replicas*/,
-                                     const on_done& done, time_point now) {
+std::vector<replica_request> writer::finish(const record& result,
+                                            const std::vector<std::string>& /*replicas*/, const on_done& done,
+                                            time_point now) {
     state::effects out;
     state_->now = now;
     state_->finish(result, done, out);
@@ -41,31 +42,31 @@
     out.run();
 }
 
-std::vector<outgoing> writer::on_write_reply(std::uint64_t operation, const std::string& from,
-                                             const write_result& reply, time_point now) {
+std::vector<replica_request> writer::on_write_reply(std::uint64_t operation, const std::string& from,
+                                                    const write_result& reply, time_point now) {
     state::effects out;
     state_->now = now;
     state_->on_write(operation, from, reply, out);
     return out.run();
 }
 
-std::vector<outgoing> writer::on_fence_reply(std::uint64_t operation, const std::string& from,
-                                             const fence_result& reply, time_point now) {
+std::vector<replica_request> writer::on_fence_reply(std::uint64_t operation, const std::string& from,
+                                                    const fence_result& reply, time_point now) {
     state::effects out;
     state_->now = now;
     state_->on_seal(operation, from, reply, out);
     return out.run();
 }
 
-std::vector<outgoing> writer::on_replica_failed(std::uint64_t operation, const std::string& from,
-                                                time_point now) {
+std::vector<replica_request> writer::on_replica_failed(std::uint64_t operation, const std::string& from,
+                                                       time_point now) {
     state::effects out;
     state_->now = now;
     state_->fail(operation, from, out);
     return out.run();
 }
 
-std::vector<outgoing> writer::tick(time_point now) {
+std::vector<replica_request> writer::tick(time_point now) {
     state::effects out;
     state_->now = now;
     state_->expire_operations(out);
--- a/src/ledger/writer_replies.cpp
+++ b/src/ledger/writer_replies.cpp
@@ -44,7 +44,7 @@
         if (wanted.replied.contains(it)) {
             continue;
         }
-        outgoing message{wanted.id, it, {}, {}, wanted.epoch};
+        replica_request message{wanted.id, it, {}, {}, wanted.epoch};
         if (wanted.kind == operation::type::fence) {
             message.fence = wanted.shard;
         } else {
--- a/src/ledger/writer_requests.cpp
+++ b/src/ledger/writer_requests.cpp
@@ -12,7 +12,7 @@
     calls.emplace_back([done, outcome = decision{result, std::move(known)}] { done(outcome); });
 }
 
-std::vector<outgoing> writer::state::effects::run() {
+std::vector<replica_request> writer::state::effects::run() {
     for (const auto& call : calls) {
         call();
     }
--- a/src/ledger/writer_state.h
+++ b/src/ledger/writer_state.h
@@ -70,11 +70,11 @@
 
     /// Messages to send and callbacks to run. Callbacks run last, since they may call the writer again.
     struct effects {
-        std::vector<outgoing> messages;
+        std::vector<replica_request> messages;
         std::vector<std::function<void()>> calls;
 
         void decide(const on_decision& done, verdict result, std::optional<record> known = {});
-        std::vector<outgoing> run();
+        std::vector<replica_request> run();
     };
 
     void begin(const waiting_begin& request, const std::vector<std::string>& replicas, effects& out);
--- a/tests/ledger/world.h
+++ b/tests/ledger/world.h
@@ -9,9 +9,9 @@
 namespace kingcupseam::test {
 
 using ledger::decision;
-using ledger::outgoing;
 using ledger::record;
 using ledger::record_state;
+using ledger::replica_request;
 using ledger::verdict;
 
 /// Faults of the fake parts. Those under "broken" violate the rules, so that the checks can be seen to fail.
@@ -186,14 +186,14 @@
         }
     }
 
-    void send(const std::string& from, const std::vector<outgoing>& messages) {
+    void send(const std::string& from, const std::vector<replica_request>& messages) {
         for (const auto& it : messages) {
             const std::uint64_t incarnation = replicas_.at(it.replica).incarnation;
             transmit([this, from, it, incarnation] { deliver(from, it, incarnation); });
         }
     }
 
-    void deliver(const std::string& from, const outgoing& message, std::uint64_t incarnation) {
+    void deliver(const std::string& from, const replica_request& message, std::uint64_t incarnation) {
         node& target = replicas_.at(message.replica);
         if (cut_.contains({from, message.replica}) || target.incarnation != incarnation) {
             return;
@@ -210,7 +210,7 @@
         }
     }
 
-    void reply_to_write(const std::string& from, const outgoing& message, node& target) {
+    void reply_to_write(const std::string& from, const replica_request& message, node& target) {
         const record& wanted = *message.write;
         auto reply = target.copy.write(wanted, now_);
         if (options_.replicas_ignore_epoch && !reply.accepted && reply.fenced_epoch > wanted.epoch) {
@@ -237,7 +237,7 @@
         }
     }
 
-    void reply_to_seal(const std::string& from, const outgoing& message, node& target) {
+    void reply_to_seal(const std::string& from, const replica_request& message, node& target) {
         auto reply = target.copy.fence(message.fence->first, message.fence->second, message.epoch, now_);
         for (auto& it : reply.window) {
             if (options_.answers_cut && !it.answer.empty()) {
@@ -249,7 +249,7 @@
         });
     }
 
-    using to_writer = std::function<std::vector<outgoing>(ledger::writer&, time_point)>;
+    using to_writer = std::function<std::vector<replica_request>(ledger::writer&, time_point)>;
     void reply_later(const std::string& to, const to_writer& call) {
         transmit([this, to, call] { at_gate(to, call); });
     }
@@ -341,7 +341,8 @@
                 [this, id, run](ledger::writer& it, time_point now) { return finish(id, run, it, now); });
     }
 
-    std::vector<outgoing> finish(std::size_t id, const record& run, ledger::writer& at, time_point now) {
+    std::vector<replica_request> finish(std::size_t id, const record& run, ledger::writer& at,
+                                        time_point now) {
         const submission s = submissions_.at(id);
         const bool ran = run.state == record_state::answered;
         auto messages = at.finish(
--- a/tests/ledger/writer_test.cpp
+++ b/tests/ledger/writer_test.cpp
@@ -35,12 +35,12 @@
         told.clear();
         REQUIRE(tested.pending() == 0);
     }
-    std::vector<outgoing> begin(const record& wanted, time_point now = start) {
+    std::vector<replica_request> begin(const record& wanted, time_point now = start) {
         return tested.begin(
             wanted, names, [this](const decision& it) { told.push_back(it); }, now);
     }
-    std::vector<outgoing> reply(std::uint64_t operation, const std::string& from, bool accepted,
-                                std::optional<record> existing = {}, std::uint64_t epoch = 5) {
+    std::vector<replica_request> reply(std::uint64_t operation, const std::string& from, bool accepted,
+                                       std::optional<record> existing = {}, std::uint64_t epoch = 5) {
         return tested.on_write_reply(operation, from, {accepted, epoch, std::move(existing)}, start);
     }
 };
@@ -193,7 +193,7 @@
 TEST_CASE("a callback may call the writer again") {
     writer tested(30ms);
     bool recorded = false;
-    std::vector<outgoing> nested;
+    std::vector<replica_request> nested;
     const auto on_decision = [&](const decision& it) {
         record result = *it.known;
         result.state = record_state::not_run;
