--- a/include/kingcupseam/ledger.h
+++ b/include/kingcupseam/ledger.h
@@ -181,10 +181,10 @@
 
 /// Age up to which the windows certainly still hold a key. After a profile makes the retention longer it
 /// grows with the time, since records that were dropped under the shorter retention do not come back.
-class covered_age {
+class guaranteed_retention {
 public:
     /// @param slack time within which all replicas apply a new profile
-    explicit covered_age(duration slack) : slack_(slack) {}
+    explicit guaranteed_retention(duration slack) : slack_(slack) {}
     void set_retention(duration retention, time_point now);
     duration at(time_point now) const;
 
--- a/src/app/instance/ledger_host.h
+++ b/src/app/instance/ledger_host.h
@@ -73,7 +73,7 @@
     time_point next_pull_;
     duration retention_ = std::chrono::minutes(10);
     ledger::writer writer_;
-    ledger::covered_age covered_;
+    ledger::guaranteed_retention covered_;
 };
 
 } // namespace kingcupseam::app
--- a/src/ledger/creation_time.cpp
+++ b/src/ledger/creation_time.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void covered_age::set_retention(duration retention, time_point now) {
+void guaranteed_retention::set_retention(duration retention, time_point now) {
     if (retention == retention_) {
         return;
     }
@@ -31,7 +31,7 @@
     changed_ = now;
 }
 
-duration covered_age::at(time_point now) const {
+duration guaranteed_retention::at(time_point now) const {
     const duration grown = before_ + std::max(duration::zero(), now - changed_ - slack_);
     return std::min(retention_, grown);
 }
--- a/tests/ledger/writer_test.cpp
+++ b/tests/ledger/writer_test.cpp
@@ -328,7 +328,7 @@
         CHECK(it.told[0].result == verdict::answer);
     }
     SUBCASE("age") {
-        covered_age tested(10s);
+        guaranteed_retention tested(10s);
         tested.set_retention(600s, start);
         CHECK(tested.at(start) == 600s);
         tested.set_retention(3600s, start + 100s);
