--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -4,18 +4,19 @@
 
 namespace {
 
-std::string vote_for(const member_id& id) {
+std::string encode_vote(const member_id& id) {
     return id.name + "#" + std::to_string(id.incarnation);
 }
 
 } // namespace
 
-bool node::state::hears_leader() const {
+bool node::state::heard_leader_recently() const {
     return current == role::leader || now - leader_contact < settings.election_timeout;
 }
 
-bool node::state::in_start_grace() const {
-    return settings.elect_after_restart && current != role::leader && !heard_since_start && hears_leader();
+bool node::state::votes_provisionally() const {
+    return settings.elect_after_restart && current != role::leader && !heard_since_start &&
+           heard_leader_recently();
 }
 
 bool node::state::up_to_date(const message& candidate) const {
@@ -34,19 +35,19 @@
         return;
     }
     votes = {settings.self};
-    provisional_votes = in_start_grace();
+    provisional_votes = votes_provisionally();
     // Other voters may have heard from the leader up to a heartbeat later; a whole election timeout between
     // attempts would delay elections that become possible within a heartbeat.
-    retry_within(1);
+    schedule_retry(1);
     if (has_won()) {
         start_election();
         return;
     }
-    request_votes(message_kind::pre_vote_request, hard.term + 1);
+    request_votes(message_kind::pre_vote_request, persistent.term + 1);
 }
 
 /// Sets the deadline one heartbeat interval ahead, plus a random part of @p spread intervals.
-void node::state::retry_within(std::uint64_t spread) {
+void node::state::schedule_retry(std::uint64_t spread) {
     const auto range = static_cast<std::uint64_t>(settings.heartbeat_interval.count()) * spread + 1;
     deadline = now + settings.heartbeat_interval + duration(static_cast<std::int64_t>(random() % range));
 }
@@ -55,21 +56,21 @@
     if (!fire("pre_vote_won")) {
         return;
     }
-    save(hard.term + 1, vote_for(settings.self));
+    save_term_and_vote(persistent.term + 1, encode_vote(settings.self));
     votes = {settings.self};
-    provisional_votes = in_start_grace();
+    provisional_votes = votes_provisionally();
     // With two voters left, a split vote is common; waiting an election timeout after it took elections at
     // three voters beyond 400 ms.
-    retry_within(2);
+    schedule_retry(2);
     if (has_won()) {
         become_leader();
         return;
     }
-    request_votes(message_kind::vote_request, hard.term);
+    request_votes(message_kind::vote_request, persistent.term);
 }
 
 void node::state::request_votes(message_kind kind, std::uint64_t term) {
-    for (const member_id& id : latest().voters) {
+    for (const member_id& id : latest_membership().voters) {
         if (id == settings.self) {
             continue;
         }
@@ -84,23 +85,24 @@
 }
 
 void node::state::on_pre_vote_request(const message& m) {
-    const bool granted = m.term > hard.term && (!hears_leader() || in_start_grace()) && up_to_date(m);
+    const bool granted =
+        m.term > persistent.term && (!heard_leader_recently() || votes_provisionally()) && up_to_date(m);
     message reply = reply_to(m, message_kind::pre_vote_reply, granted);
     if (granted) {
         reply.term = m.term;
-        reply.provisional = in_start_grace();
+        reply.provisional = votes_provisionally();
     }
     send(std::move(reply));
 }
 
 void node::state::on_pre_vote_reply(const message& m) {
     if (!m.accepted) {
-        if (m.term > hard.term) {
+        if (m.term > persistent.term) {
             become_follower("higher_term", m.term, std::nullopt);
         }
         return;
     }
-    if (current != role::pre_candidate || m.term != hard.term + 1 || !is_voter(m.from)) {
+    if (current != role::pre_candidate || m.term != persistent.term + 1 || !is_voter(m.from)) {
         return;
     }
     votes.insert(m.from);
@@ -112,33 +114,33 @@
 
 void node::state::on_vote_request(const message& m) {
     // Neither a vote nor the candidate's term is taken while a leader is heard: its lease counts on this.
-    if (hears_leader() && !in_start_grace()) {
+    if (heard_leader_recently() && !votes_provisionally()) {
         send(reply_to(m, message_kind::vote_reply, false));
         return;
     }
-    if (m.term > hard.term) {
+    if (m.term > persistent.term) {
         become_follower("higher_term", m.term, std::nullopt);
     }
-    const std::string wanted = vote_for(m.from);
-    const bool free = hard.voted_for.empty() || hard.voted_for == wanted;
-    const bool granted = m.term == hard.term && free && up_to_date(m);
+    const std::string wanted = encode_vote(m.from);
+    const bool free = persistent.voted_for.empty() || persistent.voted_for == wanted;
+    const bool granted = m.term == persistent.term && free && up_to_date(m);
     if (granted) {
-        if (hard.voted_for.empty()) {
-            save(hard.term, wanted);
+        if (persistent.voted_for.empty()) {
+            save_term_and_vote(persistent.term, wanted);
         }
         reset_deadline();
     }
     message reply = reply_to(m, message_kind::vote_reply, granted);
-    reply.provisional = granted && in_start_grace();
+    reply.provisional = granted && votes_provisionally();
     send(std::move(reply));
 }
 
 void node::state::on_vote_reply(const message& m) {
-    if (m.term > hard.term) {
+    if (m.term > persistent.term) {
         become_follower("higher_term", m.term, std::nullopt);
         return;
     }
-    if (current != role::candidate || m.term != hard.term || !m.accepted || !is_voter(m.from)) {
+    if (current != role::candidate || m.term != persistent.term || !m.accepted || !is_voter(m.from)) {
         return;
     }
     votes.insert(m.from);
@@ -171,7 +173,7 @@
         }
     }
     if (heard < quorum()) {
-        become_follower("quorum_lost", hard.term, std::nullopt);
+        become_follower("quorum_lost", persistent.term, std::nullopt);
     }
 }
 
--- a/src/consensus/follower.cpp
+++ b/src/consensus/follower.cpp
@@ -16,13 +16,13 @@
 }
 
 /// Accepts the sender as leader of its term, or refuses it when the term is over.
-bool node::state::follow(const message& m, message_kind reply) {
-    if (m.term < hard.term) {
+bool node::state::accept_leader(const message& m, message_kind reply) {
+    if (m.term < persistent.term) {
         send(reply_to(m, reply, false));
         return false;
     }
-    if (m.term > hard.term || current != role::follower) {
-        become_follower(m.term > hard.term ? "higher_term" : "leader_seen", m.term, m.from);
+    if (m.term > persistent.term || current != role::follower) {
+        become_follower(m.term > persistent.term ? "higher_term" : "leader_seen", m.term, m.from);
     }
     leader = m.from;
     leader_contact = now;
@@ -33,7 +33,7 @@
 
 void node::state::on_append_request(const message& m) {
     check_entries(m.entries, m.last_index);
-    if (!follow(m, message_kind::append_reply) || !check_previous(m)) {
+    if (!accept_leader(m, message_kind::append_reply) || !check_previous(m)) {
         return;
     }
     store_entries(m);
@@ -90,7 +90,7 @@
         return;
     }
     (void)decode_membership(m.state->membership);
-    if (!follow(m, message_kind::snapshot_reply)) {
+    if (!accept_leader(m, message_kind::snapshot_reply)) {
         return;
     }
     if (m.state->index > commit) {
--- a/src/consensus/leader.cpp
+++ b/src/consensus/leader.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 std::uint64_t node::state::append_entry(storage::entry_kind kind, std::string data) {
-    const storage::entry next{store.last_index() + 1, hard.term, kind, std::move(data)};
+    const storage::entry next{store.last_index() + 1, persistent.term, kind, std::move(data)};
     store.append(std::span(&next, 1));
     return next.index;
 }
@@ -41,7 +41,7 @@
 void node::state::send_append(const member_id& id, peer& to) {
     // A large snapshot may take several heartbeats; it is sent again after four election timeouts.
     if (to.snapshot_sent && now - *to.snapshot_sent < 4 * settings.election_timeout) {
-        send_contact(id, to);
+        send_empty_heartbeat(id, to);
         return;
     }
     const std::uint64_t previous = to.next - 1;
@@ -53,7 +53,7 @@
     to.snapshot_sent.reset();
     message m;
     m.to = id;
-    m.term = hard.term;
+    m.term = persistent.term;
     m.last_index = previous;
     m.last_term = *previous_term;
     m.commit_index = commit;
@@ -69,7 +69,7 @@
     message m;
     m.kind = message_kind::snapshot_request;
     m.to = id;
-    m.term = hard.term;
+    m.term = persistent.term;
     m.commit_index = commit;
     m.round = round;
     m.state = store.load_snapshot();
@@ -79,21 +79,21 @@
 }
 
 /// Heartbeat that says nothing about the log, while a snapshot is on its way.
-void node::state::send_contact(const member_id& id, const peer&) {
+void node::state::send_empty_heartbeat(const member_id& id, const peer&) {
     message m;
     m.to = id;
-    m.term = hard.term;
+    m.term = persistent.term;
     m.round = round;
     send(std::move(m));
 }
 
 void node::state::on_reply(const message& m) {
-    if (m.term > hard.term) {
+    if (m.term > persistent.term) {
         become_follower("higher_term", m.term, std::nullopt);
         return;
     }
     const auto it = peers.find(m.from);
-    if (current != role::leader || m.term != hard.term || it == peers.end()) {
+    if (current != role::leader || m.term != persistent.term || it == peers.end()) {
         return;
     }
     peer& from = it->second;
@@ -128,23 +128,23 @@
 
 void node::state::advance_commit() {
     std::vector<std::uint64_t> matches;
-    for (const member_id& id : latest().voters) {
+    for (const member_id& id : latest_membership().voters) {
         const auto it = peers.find(id);
         matches.push_back(it == peers.end() ? store.last_index() : it->second.match);
     }
     const std::uint64_t reached = reached_by(std::move(matches), quorum());
-    if (reached <= commit || store.term_at(reached) != hard.term) {
+    if (reached <= commit || store.term_at(reached) != persistent.term) {
         return;
     }
     commit = reached;
     if (!change_pending() && !is_voter(settings.self)) {
-        become_follower("not_a_voter", hard.term, std::nullopt);
+        become_follower("not_a_voter", persistent.term, std::nullopt);
     }
 }
 
 void node::state::update_lease() {
     std::vector<std::uint64_t> rounds;
-    for (const member_id& id : latest().voters) {
+    for (const member_id& id : latest_membership().voters) {
         const auto it = peers.find(id);
         rounds.push_back(it == peers.end() ? round : it->second.acked_round);
     }
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -35,7 +35,7 @@
     }
 }
 
-membership node::state::changed(const membership_change& wanted) const {
+membership node::state::membership_after(const membership_change& wanted) const {
     if (change_pending()) {
         throw change_refused("another membership change is in progress");
     }
@@ -43,7 +43,7 @@
     if (commit < term_start) {
         throw change_refused("no entry of this term is committed yet");
     }
-    membership next = latest();
+    membership next = latest_membership();
     const bool voter = contains(next.voters, wanted.member);
     const bool learner = contains(next.learners, wanted.member);
     switch (wanted.kind) {
@@ -87,13 +87,13 @@
         fresh.contact = now;
         next.emplace(id, fresh);
     };
-    std::for_each(latest().voters.begin(), latest().voters.end(), add);
-    std::for_each(latest().learners.begin(), latest().learners.end(), add);
+    std::for_each(latest_membership().voters.begin(), latest_membership().voters.end(), add);
+    std::for_each(latest_membership().learners.begin(), latest_membership().learners.end(), add);
     peers = std::move(next);
 }
 
 bool node::state::is_voter(const member_id& id) const {
-    return contains(latest().voters, id);
+    return contains(latest_membership().voters, id);
 }
 
 bool node::state::caught_up(const member_id& id) const {
--- a/src/consensus/node.cpp
+++ b/src/consensus/node.cpp
@@ -10,7 +10,8 @@
 not_leader::not_leader() : error("this node is not the leader") {}
 
 node::state::state(options given, storage::log_store& log, time_point start)
-    : settings(std::move(given)), store(log), random(settings.seed), hard(log.load_hard_state()), now(start),
+    : settings(std::move(given)), store(log), random(settings.seed), persistent(log.load_hard_state()),
+      now(start),
       // A restarted voter does not know when it last heard from a leader, so it waits as if it just had.
       leader_contact(start) {
     if (auto base = store.load_snapshot()) {
@@ -19,7 +20,7 @@
     }
     load_memberships();
     if (settings.elect_after_restart) {
-        retry_within(1);
+        schedule_retry(1);
     } else {
         reset_deadline();
     }
@@ -83,8 +84,8 @@
     if (before != role::follower) {
         reset_deadline();
     }
-    if (term > hard.term) {
-        save(term, "");
+    if (term > persistent.term) {
+        save_term_and_vote(term, "");
     }
     leader = new_leader;
     peers.clear();
@@ -93,10 +94,10 @@
     valid_until = {};
 }
 
-void node::state::save(std::uint64_t term, const std::string& vote) {
+void node::state::save_term_and_vote(std::uint64_t term, const std::string& vote) {
     const storage::hard_state next{term, vote};
     store.save_hard_state(next);
-    hard = next;
+    persistent = next;
 }
 
 void node::state::reset_deadline() {
@@ -108,7 +109,7 @@
     message reply;
     reply.kind = kind;
     reply.to = m.from;
-    reply.term = hard.term;
+    reply.term = persistent.term;
     reply.accepted = accepted;
     reply.round = m.round;
     return reply;
@@ -177,7 +178,7 @@
     if (s.current != role::leader) {
         throw not_leader();
     }
-    const membership next = s.changed(wanted);
+    const membership next = s.membership_after(wanted);
     const std::uint64_t index = s.append_entry(storage::entry_kind::membership, encode(next));
     s.add_membership(index, next);
     s.update_peers();
@@ -204,7 +205,7 @@
     return state_->current;
 }
 std::uint64_t node::term() const noexcept {
-    return state_->hard.term;
+    return state_->persistent.term;
 }
 std::uint64_t node::commit_index() const noexcept {
     return state_->commit;
@@ -213,7 +214,7 @@
     return state_->leader;
 }
 const membership& node::members() const noexcept {
-    return state_->latest();
+    return state_->latest_membership();
 }
 bool node::change_in_progress() const noexcept {
     return state_->change_pending();
--- a/src/consensus/replacement.cpp
+++ b/src/consensus/replacement.cpp
@@ -13,16 +13,16 @@
 }
 
 /// The view with the members sorted into those that are heard from and those that are lost.
-class assessment {
+class member_liveness {
 public:
-    assessment(const replacement_view& view, duration lost_after, time_point now)
+    member_liveness(const replacement_view& view, duration lost_after, time_point now)
         : view_(view), lost_after_(lost_after), now_(now) {
         for (const member_id& id : view.members.voters) {
-            (alive(id) ? live_voters : lost_voters).push_back(id);
+            (is_live(id) ? live_voters : lost_voters).push_back(id);
         }
     }
 
-    bool alive(const member_id& id) const {
+    bool is_live(const member_id& id) const {
         const member_status* it = status(id);
         return id == view_.leader || (it != nullptr && now_ - it->last_contact < lost_after_);
     }
@@ -32,7 +32,7 @@
     }
     std::optional<member_id> first_learner(bool lost) const {
         for (const member_id& id : view_.members.learners) {
-            if (alive(id) != lost) {
+            if (is_live(id) != lost) {
                 return id;
             }
         }
@@ -66,8 +66,8 @@
     return part > whole / 2;
 }
 
-std::optional<membership_change> removal(const assessment& state, const replacement_view& view,
-                                         std::size_t wanted) {
+std::optional<membership_change> next_removal(const member_liveness& state, const replacement_view& view,
+                                              std::size_t wanted) {
     const std::size_t voters = view.members.voters.size();
     if (voters <= wanted) {
         return std::nullopt;
@@ -87,7 +87,7 @@
     return std::nullopt;
 }
 
-std::optional<membership_change> addition(const assessment& state, const replacement_view& view) {
+std::optional<membership_change> next_addition(const member_liveness& state, const replacement_view& view) {
     const std::size_t voters = view.members.voters.size();
     if (const auto learner = state.first_learner(false)) {
         // The learner counts as live: a majority of the new voters must be able to commit the change.
@@ -127,18 +127,18 @@
     if (view.change_in_progress) {
         return std::nullopt;
     }
-    const assessment state(view, settings_.lost_after, now);
+    const member_liveness state(view, settings_.lost_after, now);
     if (!is_majority(state.live_voters.size(), view.members.voters.size())) {
         return std::nullopt;
     }
-    if (auto change = removal(state, view, settings_.voters)) {
+    if (auto change = next_removal(state, view, settings_.voters)) {
         return change;
     }
     if (const auto learner = state.first_learner(true)) {
         return membership_change{change_kind::remove, *learner};
     }
     if (state.live_voters.size() < settings_.voters) {
-        return addition(state, view);
+        return next_addition(state, view);
     }
     if (const auto learner = state.first_learner(false)) {
         // The voter that it was to replace has returned.
--- a/src/consensus/state.h
+++ b/src/consensus/state.h
@@ -31,21 +31,23 @@
     bool fire(std::string_view event);
     void become_follower(std::string_view event, std::uint64_t term,
                          const std::optional<member_id>& new_leader);
-    void save(std::uint64_t term, const std::string& vote);
+    void save_term_and_vote(std::uint64_t term, const std::string& vote);
     void reset_deadline();
     message reply_to(const message& m, message_kind kind, bool accepted) const;
     void send(message m);
 
     // election.cpp
-    bool hears_leader() const;
+    bool heard_leader_recently() const;
     /// True while a restarted voter may have confirmed a leader shortly before and does not remember it.
-    bool in_start_grace() const;
+    bool votes_provisionally() const;
     /// A majority, or all voters when a vote among theirs is provisional: a leader whose lease still runs
     /// would not have voted.
-    bool has_won() const { return votes.size() >= (provisional_votes ? latest().voters.size() : quorum()); }
+    bool has_won() const {
+        return votes.size() >= (provisional_votes ? latest_membership().voters.size() : quorum());
+    }
     bool up_to_date(const message& candidate) const;
     void start_pre_vote();
-    void retry_within(std::uint64_t spread);
+    void schedule_retry(std::uint64_t spread);
     void start_election();
     void request_votes(message_kind kind, std::uint64_t term);
     void on_pre_vote_request(const message& m);
@@ -61,14 +63,14 @@
     void broadcast_entries();
     void send_append(const member_id& id, peer& to);
     void send_snapshot(const member_id& id, peer& to);
-    void send_contact(const member_id& id, const peer& to);
+    void send_empty_heartbeat(const member_id& id, const peer& to);
     void on_reply(const message& m);
     void on_rejected(const message& m, peer& from);
     void advance_commit();
     void update_lease();
 
     // follower.cpp
-    bool follow(const message& m, message_kind reply);
+    bool accept_leader(const message& m, message_kind reply);
     void on_append_request(const message& m);
     bool check_previous(const message& m);
     void store_entries(const message& m);
@@ -78,18 +80,18 @@
     void load_memberships();
     void add_membership(std::uint64_t index, const membership& next);
     void drop_memberships_after(std::uint64_t index);
-    const membership& latest() const { return memberships.back().second; }
-    membership changed(const membership_change& wanted) const;
+    const membership& latest_membership() const { return memberships.back().second; }
+    membership membership_after(const membership_change& wanted) const;
     void update_peers();
     bool is_voter(const member_id& id) const;
-    std::size_t quorum() const { return latest().voters.size() / 2 + 1; }
+    std::size_t quorum() const { return latest_membership().voters.size() / 2 + 1; }
     bool change_pending() const { return memberships.back().first > commit; }
     bool caught_up(const member_id& id) const;
 
     options settings;
     storage::log_store& store;
     std::mt19937_64 random;
-    storage::hard_state hard;
+    storage::hard_state persistent;
     statechart::machine roles{statechart::embedded_chart("consensus_role")};
     role current = role::follower; ///< state of `roles`, so that the commit path compares no names
     std::optional<member_id> leader;
