--- a/include/kingcupseam/consensus.h
+++ b/include/kingcupseam/consensus.h
@@ -14,7 +14,7 @@
 
 namespace kingcupseam::consensus {
 
-/// A voter or learner: name and incarnation of an instance. A restarted diskless voter is another member.
+/// A voter or learner: name and incarnation of an instance. A diskless voter that restarts is a new member.
 using member_id = instance_id;
 
 enum class role : std::uint8_t { follower, pre_candidate, candidate, leader };
@@ -25,7 +25,7 @@
     auto operator<=>(const membership&) const = default;
 };
 
-/// Thrift compact form (idl/consensus.thrift).
+/// Encodes in the Thrift compact protocol (idl/consensus.thrift).
 std::string encode(const membership& members);
 /// @throws invalid_input
 membership decode_membership(const std::string& bytes);
@@ -54,8 +54,8 @@
     std::vector<storage::entry> entries;
     std::optional<storage::snapshot> state;
     bool accepted = false;         ///< replies
-    bool provisional = false;      ///< votes that count only when all voters give theirs
-    std::uint64_t match_index = 0; ///< replies: highest index known to match, or a hint where to retry
+    bool provisional = false;      ///< a vote that counts only if every voter grants its vote
+    std::uint64_t match_index = 0; ///< replies: highest index known to match; on refusal, where to retry
     std::uint64_t round = 0;       ///< appends, snapshots and replies: number of the leader's heartbeat round
     bool operator==(const message&) const = default;
 };
@@ -64,22 +64,22 @@
     std::uint64_t group = 0;
     member_id self;
     duration heartbeat_interval = std::chrono::milliseconds(50);
-    /// Election timeout is drawn between this and twice this.
+    /// Each election timeout is random, between this and twice this.
     duration election_timeout = std::chrono::milliseconds(200);
-    /// Lets voters that have all restarted elect a leader before an election timeout has passed. The lease of
-    /// a leader then ends with its process, so nothing that outlives the process may rely on it.
+    /// Lets voters elect a leader within an election timeout of their restart if all of them agree. A
+    /// leader's lease then ends with its process, so nothing that outlives the process may rely on it.
     bool elect_after_restart = false;
     std::size_t max_append_bytes = std::size_t{256} * 1024;
     std::uint64_t seed = 1;
 };
 
-/// What the caller of node has to do after an event, in this order: send, install, apply. The first event
-/// after a restart installs the stored snapshot; the entries after it follow once they are known to be
-/// committed.
+/// What the caller of node must do after an event, in this order: send the messages, install the snapshot,
+/// apply the entries. The first event after a restart installs the stored snapshot; later entries follow once
+/// they are known to be committed.
 struct effects {
     std::vector<message> messages;
-    std::optional<storage::snapshot> install; ///< replace the state machine by this state first
-    std::vector<storage::entry> committed;    ///< then apply these, in order
+    std::optional<storage::snapshot> install; ///< replaces the state of the state machine
+    std::vector<storage::entry> committed;    ///< to be applied in order, after the snapshot
 };
 
 enum class change_kind : std::uint8_t { add_learner, promote, remove };
@@ -96,40 +96,41 @@
 };
 
 /// A membership change is refused: another one is in progress, the leader has not committed an entry of its
-/// own term yet, the learner has not caught up, or the change does not fit the membership.
+/// own term yet, the learner has not caught up, or the change does not apply to the membership.
 class change_refused : public error {
 public:
     using error::error;
 };
 
-/// One member of a replicated log. Has no clock, socket or thread: the caller passes time and messages in.
+/// A member of a Raft group. Has no clock, socket or thread: the caller passes time and messages in.
 class node {
 public:
     /// @param store holds the log; must outlive the node
     node(options settings, storage::log_store& store, time_point now);
 
-    /// Writes the initial membership to an empty store. Every initial voter is given the same membership.
+    /// Writes the initial membership to an empty store. It must be the same at every initial voter.
     /// @throws change_refused when the store is not empty
     static void bootstrap(storage::log_store& store, const membership& members);
 
-    /// Drops messages of another group, for another member, or with a malformed log.
+    /// Ignores messages of another group, for another member, or with malformed entries.
     /// @throws io_error; the voter must then stop, as after any io_error of its store
     effects receive(const message& received, time_point now);
     /// Must be called at least every half heartbeat interval.
     effects tick(time_point now);
 
-    /// Appends a command; it is applied when it shows up in effects::committed with the term of this call. An
-    /// entry of another term at the same index means that the command was lost.
-    /// @returns its index
+    /// Appends a command. It is committed when effects::committed has it at the returned index with the term
+    /// of this call; an entry of another term at that index means that the command was lost.
+    /// @returns the index of its entry
     /// @throws not_leader
     std::uint64_t propose(std::string data, time_point now, effects& out);
 
-    /// Starts a membership change, one at a time.
+    /// Starts a membership change. Only one can be in progress.
+    /// @returns the index of its entry
     /// @throws not_leader, change_refused
     std::uint64_t change_membership(const membership_change& wanted, time_point now, effects& out);
 
-    /// Stores a snapshot of the state machine after applying entry @p index and drops the log before it.
-    /// @throws invalid_input when the entry was not handed out in effects::committed or is already dropped
+    /// Stores @p state, the state machine after entry @p index, as a snapshot and drops the log up to there.
+    /// @throws invalid_input if the entry was not returned in effects::committed or is already dropped
     void compact(std::uint64_t index, std::string state);
 
     role current_role() const noexcept;
@@ -139,14 +140,14 @@
     const membership& members() const noexcept;
     /// True from the start of a membership change until it is committed.
     bool change_in_progress() const noexcept;
-    /// True when the learner has every committed entry and may be promoted.
+    /// True if the learner stores every committed entry and may be promoted.
     bool caught_up(const member_id& learner) const;
-    /// While now is before this time, no other member can have been elected. Counted from the time when the
-    /// last heartbeat round that a quorum confirmed was sent, less a tenth of the election timeout for clock
-    /// drift. Only for the leader; otherwise the epoch.
+    /// End of the leader's lease: no other member can have been elected before this time. One election
+    /// timeout, less a tenth for clock drift, after the last heartbeat round that a quorum confirmed was
+    /// sent. time_point{} if this node is not the leader.
     time_point leadership_valid_until() const noexcept;
-    /// The last time the leader heard from a member; the start of its leadership or of the membership before
-    /// that. Empty for others, and on other nodes than the leader.
+    /// When the leader last heard from another member, or else when its leadership or that member's
+    /// membership began. Empty for any other id, and if this node is not the leader.
     std::optional<time_point> last_contact(const member_id& member) const;
 
 private:
@@ -155,8 +156,8 @@
 };
 
 struct replacement_options {
-    std::size_t voters = 3; ///< wanted number of voters
-    /// A member that the leader has not heard from for this long is lost.
+    std::size_t voters = 3; ///< target number of voters
+    /// A member counts as lost when the leader has not heard from it for this long.
     duration lost_after = std::chrono::seconds(2);
 };
 
@@ -167,22 +168,22 @@
     bool caught_up = false;
 };
 
-/// What the replacement decision depends on.
+/// Input of the replacement decision.
 struct replacement_view {
     member_id leader;
     membership members;
     std::vector<member_status> statuses; ///< members without a status count as lost
-    std::vector<member_id> spares;       ///< live instances that may become voters, the preferred one first
+    std::vector<member_id> spares;       ///< live instances that may become voters, in order of preference
     bool change_in_progress = false;
 };
 
-/// View of the leader @p source.
+/// Input of the replacement decision, as the leader @p source sees its group.
 replacement_view replacement_view_of(const node& source, const member_id& self, std::vector<member_id> spares,
                                      time_point now);
 
 /// Decides how lost voters are replaced: a spare becomes a learner, is promoted once it has caught up, and
-/// then the lost voter is removed. Each call returns at most one change, and none while another one is in
-/// progress or when the members that are heard from would not be a majority of the new voters.
+/// then the lost voter is removed. Each call returns at most one change, and none while another is in
+/// progress or if the live voters would not be a majority after it.
 class replacement_policy {
 public:
     explicit replacement_policy(replacement_options settings) : settings_(settings) {}
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -36,8 +36,8 @@
     }
     votes = {settings.self};
     provisional_votes = votes_provisionally();
-    // Other voters may have heard from the leader up to a heartbeat later; a whole election timeout between
-    // attempts would delay elections that become possible within a heartbeat.
+    // Other voters may have heard from the leader up to a heartbeat later, so an election can become possible
+    // within a heartbeat. Waiting a whole election timeout before the next attempt would delay it.
     schedule_retry(1);
     if (has_won()) {
         start_election();
@@ -46,7 +46,7 @@
     request_votes(message_kind::pre_vote_request, persistent.term + 1);
 }
 
-/// Sets the deadline one heartbeat interval ahead, plus a random part of @p spread intervals.
+/// Schedules the next attempt after one heartbeat interval plus a random time of up to @p spread intervals.
 void node::state::schedule_retry(std::uint64_t spread) {
     const auto range = static_cast<std::uint64_t>(settings.heartbeat_interval.count()) * spread + 1;
     deadline = now + settings.heartbeat_interval + duration(static_cast<std::int64_t>(random() % range));
@@ -59,8 +59,8 @@
     save_term_and_vote(persistent.term + 1, encode_vote(settings.self));
     votes = {settings.self};
     provisional_votes = votes_provisionally();
-    // With two voters left, a split vote is common; waiting an election timeout after it took elections at
-    // three voters beyond 400 ms.
+    // Split votes are common among two live voters. Waiting an election timeout after one made elections with
+    // three voters take more than 400 ms.
     schedule_retry(2);
     if (has_won()) {
         become_leader();
@@ -113,7 +113,8 @@
 }
 
 void node::state::on_vote_request(const message& m) {
-    // Neither a vote nor the candidate's term is taken while a leader is heard: its lease counts on this.
+    // The leader's lease relies on voters that neither vote nor adopt a candidate's term while they hear from
+    // the leader.
     if (heard_leader_recently() && !votes_provisionally()) {
         send(reply_to(m, message_kind::vote_reply, false));
         return;
@@ -159,7 +160,7 @@
     round_starts.clear();
     valid_until = {};
     update_peers();
-    // Entries of earlier terms are committed only together with an entry of this term.
+    // An entry of an earlier term may be counted as committed only through a later entry of this term.
     term_start = append_entry(storage::entry_kind::no_op, "");
     start_round();
     advance_commit();
--- a/src/consensus/follower.cpp
+++ b/src/consensus/follower.cpp
@@ -15,7 +15,7 @@
     }
 }
 
-/// Accepts the sender as leader of its term, or refuses it when the term is over.
+/// Accepts the sender as the leader of its term, or refuses the message if that term has ended.
 bool node::state::accept_leader(const message& m, message_kind reply) {
     if (m.term < persistent.term) {
         send(reply_to(m, reply, false));
@@ -44,7 +44,7 @@
     send(std::move(reply));
 }
 
-/// Refuses an append whose previous entry is not in this log, with a hint where to retry.
+/// Refuses an append whose previous entry is not in this log; the reply hints at the index to retry from.
 bool node::state::check_previous(const message& m) {
     if (m.last_index <= commit) {
         return true;
--- a/src/consensus/leader.cpp
+++ b/src/consensus/leader.cpp
@@ -39,7 +39,8 @@
 }
 
 void node::state::send_append(const member_id& id, peer& to) {
-    // A large snapshot may take several heartbeats; it is sent again after four election timeouts.
+    // A large snapshot may take several heartbeats to arrive, so it is resent only after four election
+    // timeouts.
     if (to.snapshot_sent && now - *to.snapshot_sent < 4 * settings.election_timeout) {
         send_empty_heartbeat(id, to);
         return;
@@ -78,7 +79,7 @@
     send(std::move(m));
 }
 
-/// Heartbeat that says nothing about the log, while a snapshot is on its way.
+/// Sends a heartbeat without log position, while a snapshot is in transit.
 void node::state::send_empty_heartbeat(const member_id& id, const peer&) {
     message m;
     m.to = id;
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -39,9 +39,9 @@
     if (change_pending()) {
         throw change_refused("another membership change is in progress");
     }
-    // Without this rule two leaders in turn can commit memberships whose majorities do not overlap.
+    // Otherwise two successive leaders could commit memberships whose majorities do not overlap.
     if (commit < term_start) {
-        throw change_refused("no entry of this term is committed yet");
+        throw change_refused("the leader has not committed an entry of its term yet");
     }
     membership next = latest_membership();
     const bool voter = contains(next.voters, wanted.member);
@@ -55,7 +55,7 @@
         break;
     case change_kind::promote:
         if (!learner || !caught_up(wanted.member)) {
-            throw change_refused("not a learner that has caught up");
+            throw change_refused("not a learner, or a learner that has not caught up");
         }
         std::erase(next.learners, wanted.member);
         next.voters.push_back(wanted.member);
--- a/src/consensus/node.cpp
+++ b/src/consensus/node.cpp
@@ -12,7 +12,7 @@
 node::state::state(options given, storage::log_store& log, time_point start)
     : settings(std::move(given)), store(log), random(settings.seed), persistent(log.load_hard_state()),
       now(start),
-      // A restarted voter does not know when it last heard from a leader, so it waits as if it just had.
+      // A restarted voter may have heard from a leader just before, so it waits as if it just had.
       leader_contact(start) {
     if (auto base = store.load_snapshot()) {
         commit = applied = base->index;
@@ -78,7 +78,8 @@
         return;
     }
     if (before == role::leader) {
-        // Others may rely on the lease of this leadership, so the former leader must not vote before its end.
+        // Clients may rely on the lease of this leadership, so the former leader must not vote before its
+        // end.
         leader_contact = now;
     }
     if (before != role::follower) {
@@ -128,7 +129,7 @@
     if (store.last_index() != 0) {
         throw change_refused("the store is not empty");
     }
-    // The term is stored first: a crash in between leaves an empty log, and the call can be repeated.
+    // The term is stored first: a crash in between leaves an empty log, so that the call can be repeated.
     store.save_hard_state({1, ""});
     const storage::entry first{1, 1, storage::entry_kind::membership, encode(members)};
     store.append(std::span(&first, 1));
--- a/src/consensus/replacement.cpp
+++ b/src/consensus/replacement.cpp
@@ -12,7 +12,7 @@
     return std::find(list.begin(), list.end(), id) != list.end();
 }
 
-/// The view with the members sorted into those that are heard from and those that are lost.
+/// Sorts the members of a view into live and lost ones.
 class member_liveness {
 public:
     member_liveness(const replacement_view& view, duration lost_after, time_point now)
@@ -78,7 +78,7 @@
         }
         return membership_change{change_kind::remove, state.lost_voters.front()};
     }
-    // All are heard from again, so any may go; the leader stays to avoid an election.
+    // All voters are live, so any may be removed; keeping the leader avoids an election.
     for (const member_id& id : view.members.voters) {
         if (id != view.leader) {
             return membership_change{change_kind::remove, id};
@@ -141,7 +141,7 @@
         return next_addition(state, view);
     }
     if (const auto learner = state.first_learner(false)) {
-        // The voter that it was to replace has returned.
+        // The voter that it was to replace is live again.
         return membership_change{change_kind::remove, *learner};
     }
     return std::nullopt;
--- a/src/consensus/state.h
+++ b/src/consensus/state.h
@@ -10,12 +10,12 @@
 
 namespace kingcupseam::consensus {
 
-/// Leader's view of another member.
+/// What the leader knows about another member.
 struct peer {
     std::uint64_t match = 0;       ///< highest index known to be stored there
     std::uint64_t next = 1;        ///< next index to send
-    std::uint64_t acked_round = 0; ///< newest heartbeat round that it confirmed
-    bool probing = true;           ///< where its log matches is unknown: one append per heartbeat
+    std::uint64_t acked_round = 0; ///< latest heartbeat round that it confirmed
+    bool probing = true;           ///< matching index not known yet: one append per heartbeat
     std::optional<time_point> snapshot_sent;
     time_point contact;
 };
@@ -26,8 +26,8 @@
     // node.cpp
     void dispatch(const message& m);
     effects take_effects();
-    /// Takes the transition of charts/consensus_role.toml. @returns false when the role has none for the
-    /// event
+    /// Takes a transition of charts/consensus_role.toml.
+    /// @returns false if the current role has none for the event
     bool fire(std::string_view event);
     void become_follower(std::string_view event, std::uint64_t term,
                          const std::optional<member_id>& new_leader);
@@ -38,10 +38,11 @@
 
     // election.cpp
     bool heard_leader_recently() const;
-    /// True while a restarted voter may have confirmed a leader shortly before and does not remember it.
+    /// True while a restarted voter may have confirmed a leader just before its restart, which it does not
+    /// remember.
     bool votes_provisionally() const;
-    /// A majority, or all voters when a vote among theirs is provisional: a leader whose lease still runs
-    /// would not have voted.
+    /// True with the votes of a majority, or of all voters if one vote is provisional: a leader whose lease
+    /// is still valid would not have voted.
     bool has_won() const {
         return votes.size() >= (provisional_votes ? latest_membership().voters.size() : quorum());
     }
@@ -93,29 +94,29 @@
     std::mt19937_64 random;
     storage::hard_state persistent;
     statechart::machine roles{statechart::embedded_chart("consensus_role")};
-    role current = role::follower; ///< state of `roles`, so that the commit path compares no names
+    role current = role::follower; ///< state of `roles`; avoids comparing names on the commit path
     std::optional<member_id> leader;
     std::uint64_t commit = 0;
-    std::uint64_t applied = 0;      ///< highest index handed out in effects
+    std::uint64_t applied = 0;      ///< highest index returned in effects
     time_point now;                 ///< time of the event being handled
-    time_point deadline;            ///< of the next pre-vote
-    time_point leader_contact;      ///< a vote may be given only an election timeout after this
-    bool heard_since_start = false; ///< from a leader
-    /// Memberships by the index that introduced them; the last one is in force.
+    time_point deadline;            ///< when the next pre-vote starts
+    time_point leader_contact;      ///< no vote is granted for an election timeout after this
+    bool heard_since_start = false; ///< a leader's message arrived since the start
+    /// Memberships with the index of their entry; the last one is in effect, committed or not.
     std::vector<std::pair<std::uint64_t, membership>> memberships;
     std::set<member_id> votes;
-    bool provisional_votes = false; ///< one of them is
+    bool provisional_votes = false; ///< one of `votes` is provisional
     effects out;
 
     std::map<member_id, peer> peers;
-    std::uint64_t round = 0;
+    std::uint64_t round = 0; ///< latest heartbeat round
     std::deque<std::pair<std::uint64_t, time_point>> round_starts;
-    std::uint64_t term_start = 0; ///< index of the no-op of this leadership
+    std::uint64_t term_start = 0; ///< index of the no-op that began this leadership
     time_point next_heartbeat;
-    time_point valid_until;
+    time_point valid_until; ///< end of the lease
 };
 
-/// Throws invalid_input unless the entries follow @p previous without a gap and their memberships decode.
+/// @throws invalid_input unless the entries follow @p previous without a gap and their memberships decode
 void check_entries(const std::vector<storage::entry>& entries, std::uint64_t previous);
 
 } // namespace kingcupseam::consensus
