--- a/tests/consensus/checker.cpp
+++ b/tests/consensus/checker.cpp
@@ -59,14 +59,14 @@
     latest = {holder, std::max(latest.until, until)};
 }
 
-void checker::on_ended(const consensus::member_id& holder) {
+void checker::on_stopped(const consensus::member_id& holder) {
     std::erase_if(leases_, [&](const auto& it) { return it.second.holder == holder; });
 }
 
 void checker::on_elected(std::uint64_t term, time_point now) {
     for (const auto& [holder_term, it] : leases_) {
         if (holder_term < term && now < it.until) {
-            found_.insert(violation::broken_lease);
+            found_.insert(violation::overlapping_lease);
         }
     }
 }
--- a/tests/consensus/fake_network.cpp
+++ b/tests/consensus/fake_network.cpp
@@ -41,7 +41,7 @@
     given.max_append_bytes = 2000;
     given.elect_after_restart = settings_.elect_after_restart;
     const time_point since =
-        settings_.broken == fault::forgets_leader ? now_ - std::chrono::seconds(1) : now_;
+        settings_.injected == fault::forgets_leader ? now_ - std::chrono::seconds(1) : now_;
     it.state = {};
     it.applied = 0;
     it.node = std::make_unique<node>(given, *it.disk, since);
@@ -71,9 +71,9 @@
     const event next = events_.top();
     events_.pop();
     now_ = next.when;
-    if (!next.ticked.empty()) {
-        tick(at(next.ticked));
-        events_.push({now_ + tick_interval, ++sequence_, next.ticked, {}});
+    if (!next.tick_host.empty()) {
+        tick(at(next.tick_host));
+        events_.push({now_ + tick_interval, ++sequence_, next.tick_host, {}});
         return;
     }
     host& to = at(next.delivered.to.name);
@@ -81,7 +81,7 @@
         return;
     }
     if (to.paused) {
-        to.held.push_back(next.delivered);
+        to.queued.push_back(next.delivered);
         return;
     }
     deliver(to, next.delivered);
@@ -89,8 +89,8 @@
 
 void fake_network::deliver(host& to, const message& m) {
     message seen = m;
-    seen.provisional = m.provisional && settings_.broken != fault::hides_provisional;
-    if (settings_.broken == fault::acknowledges_unstored && m.kind == message_kind::append_request &&
+    seen.provisional = m.provisional && settings_.injected != fault::hides_provisional;
+    if (settings_.injected == fault::acknowledges_unstored && m.kind == message_kind::append_request &&
         !m.entries.empty() && to.id.name != "a") {
         message reply;
         reply.kind = message_kind::append_reply;
@@ -109,7 +109,7 @@
 void fake_network::tick(host& it) {
     if (it.up() && !it.paused) {
         handle(it, it.node->tick(now_));
-        replace(it);
+        replace_lost_voters(it);
     }
 }
 
@@ -118,7 +118,7 @@
         send(m);
     }
     apply(it, out);
-    observe(it);
+    check_leadership(it);
     compact(it);
 }
 
@@ -155,7 +155,7 @@
     }
     for (const storage::entry& entry : out.committed) {
         it.state.apply(entry);
-        if (settings_.broken == fault::changes_state && it.id.name == "b" && entry.index % 5 == 0) {
+        if (settings_.injected == fault::changes_state && it.id.name == "b" && entry.index % 5 == 0) {
             it.state.apply(entry);
         }
         it.applied = entry.index;
@@ -175,7 +175,7 @@
     proposed_.erase(at);
 }
 
-void fake_network::observe(host& it) {
+void fake_network::check_leadership(host& it) {
     const bool leads = it.node->current_role() == role::leader;
     if (!leads) {
         return;
@@ -195,7 +195,7 @@
     }
 }
 
-void fake_network::replace(host& it) {
+void fake_network::replace_lost_voters(host& it) {
     if (!replacement_ || it.node->current_role() != role::leader) {
         return;
     }
@@ -214,7 +214,7 @@
         it.node->change_membership(*wanted, now_, out);
         ++changes_started_;
     } catch (const change_refused&) {
-        return; // the no-op of a new leader is not committed yet
+        return; // the new leader has not committed its no-op yet
     }
     handle(it, out);
 }
@@ -233,26 +233,26 @@
 
 void fake_network::kill(const std::string& name) {
     if (settings_.elect_after_restart) {
-        checks_.on_ended(at(name).id);
+        checks_.on_stopped(at(name).id);
     }
     at(name).node.reset();
-    at(name).held.clear();
+    at(name).queued.clear();
 }
 
 void fake_network::restart(const std::string& name, bool lost_disk) {
     host& it = at(name);
     kill(name);
     if (lost_disk || !settings_.disks) {
-        if (settings_.broken != fault::keeps_identity) {
+        if (settings_.injected != fault::keeps_identity) {
             it.id.incarnation = ++incarnations_;
         }
         auto empty = storage::make_memory_log_store(it.id.incarnation);
-        if (settings_.broken == fault::keeps_identity) {
-            empty->append(it.disk->entries(1, 1)); // it still knows the initial membership from its settings
+        if (settings_.injected == fault::keeps_identity) {
+            empty->append(it.disk->entries(1, 1)); // the initial membership, known from its settings
         }
         it.disk = std::move(empty);
     }
-    if (settings_.broken == fault::forgets_fsync) {
+    if (settings_.injected == fault::forgets_fsync) {
         it.disk->truncate_after(std::max<std::uint64_t>(it.disk->last_index(), 4) - 3);
     }
     start(it);
@@ -261,8 +261,8 @@
 void fake_network::resume(const std::string& name) {
     host& it = at(name);
     it.paused = false;
-    const auto held = std::exchange(it.held, {});
-    for (const message& m : held) {
+    const auto queued = std::exchange(it.queued, {});
+    for (const message& m : queued) {
         if (it.up()) {
             deliver(it, m);
         }
@@ -285,7 +285,7 @@
     effects out;
     const std::uint64_t index = it.node->propose(data, now_, out);
     const storage::entry expected{index, it.node->term(), storage::entry_kind::command, data};
-    if (settings_.broken == fault::acknowledges_early) {
+    if (settings_.injected == fault::acknowledges_early) {
         checks_.on_acknowledged(expected);
     } else {
         proposed_[index] = expected;
--- a/tests/consensus/fake_network.h
+++ b/tests/consensus/fake_network.h
@@ -11,16 +11,16 @@
 
 namespace kingcupseam::test {
 
-/// Deliberately broken variants, which the checker must detect.
+/// Bugs that a test injects to show that the checker detects them.
 enum class fault {
     none,
-    forgets_fsync,         ///< a restart loses the last entries, as if fsync had not been called
-    keeps_identity,        ///< a diskless voter restarts empty under its old identity
-    acknowledges_early,    ///< commands are acknowledged before they are committed
-    forgets_leader,        ///< a restarted voter votes at once, although it may just have confirmed a leader
-    acknowledges_unstored, ///< followers confirm entries that they did not store
-    changes_state,         ///< one node's state machine applies a command twice
-    hides_provisional,     ///< candidates take provisional votes for full ones
+    forgets_fsync,      ///< a restart loses the last entries, as if fsync had not been called
+    keeps_identity,     ///< a diskless voter restarts empty under its old identity
+    acknowledges_early, ///< commands are acknowledged before they are committed
+    forgets_leader, ///< a restarted voter votes at once, though it may have confirmed a leader just before
+    acknowledges_unstored, ///< followers confirm entries without storing them
+    changes_state,         ///< the state machine of one node applies some commands twice
+    hides_provisional,     ///< candidates count provisional votes as full ones
 };
 
 struct network_options {
@@ -34,10 +34,10 @@
     double duplicate = 0;
     std::uint64_t compact_after = 0; ///< 0 never compacts
     bool elect_after_restart = false;
-    fault broken = fault::none;
+    fault injected = fault::none;
 };
 
-/// Group of nodes in virtual time, with a network and machines that fail on demand.
+/// A group of nodes in virtual time, with a network and hosts that fail on demand.
 class fake_network {
 public:
     struct host {
@@ -47,34 +47,37 @@
         machine_state state;
         std::uint64_t applied = 0;
         bool paused = false;
-        std::vector<consensus::message> held; ///< arrived while paused
+        std::vector<consensus::message> queued; ///< arrived while paused
         bool up() const { return node != nullptr; }
     };
 
     explicit fake_network(const network_options& settings);
 
     void run(duration length);
-    /// Runs until @p done, at most @p limit. @returns whether it was reached
+    /// Runs until @p done returns true, for at most @p limit.
+    /// @returns false if the limit was reached
     bool run_until(const std::function<bool()>& done, duration limit);
 
-    /// Running, unpaused leader of the highest term; "" when there is none.
+    /// Name of the running, unpaused leader with the highest term; empty if there is none.
     std::string leader() const;
     host& at(const std::string& name) { return hosts_.at(name); }
     const std::map<std::string, host>& hosts() const { return hosts_; }
 
     void kill(const std::string& name);
-    /// @param lost_disk the host returns with an empty store and a new identity
+    /// @param lost_disk the host restarts with an empty store and a new identity
     void restart(const std::string& name, bool lost_disk);
     void pause(const std::string& name) { at(name).paused = true; }
     void resume(const std::string& name);
-    /// Drops what @p from sends to @p to; "*" stands for every host.
+    /// Drops messages from @p from to @p to; "*" stands for every host.
     void cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
     void heal() { cuts_.clear(); }
     void set_losses(double drop, double duplicate, duration max_delay);
 
-    /// Proposes at the leader. @returns false when there is none
+    /// Proposes a command to the leader.
+    /// @returns false if there is none
     bool propose();
-    /// @returns false when it is refused or there is no leader
+    /// Asks the leader for a membership change.
+    /// @returns false if it is refused or there is no leader
     bool change(const consensus::membership_change& wanted);
     void enable_replacement(const consensus::replacement_options& options) { replacement_.emplace(options); }
 
@@ -87,7 +90,7 @@
     struct event {
         time_point when;
         std::uint64_t order = 0;
-        std::string ticked; ///< host to tick; empty for a delivery
+        std::string tick_host; ///< host to tick; empty for a delivery
         consensus::message delivered;
         bool operator<(const event& other) const {
             return std::tie(other.when, other.order) < std::tie(when, order);
@@ -104,9 +107,9 @@
     bool is_cut(const std::string& from, const std::string& to) const;
     void apply(host& it, const consensus::effects& out);
     void acknowledge(const host& it, const storage::entry& committed);
-    void observe(host& it);
+    void check_leadership(host& it);
     void compact(host& it);
-    void replace(host& it);
+    void replace_lost_voters(host& it);
     bool chance(double probability);
 
     network_options settings_;
@@ -119,8 +122,8 @@
     std::uint64_t commands_ = 0;
     std::size_t changes_started_ = 0;
     std::set<std::pair<std::string, std::string>> cuts_;
-    std::map<std::uint64_t, storage::entry> proposed_; ///< by index, not yet acknowledged
-    std::map<std::string, std::uint64_t> seen_term_;   ///< last leadership seen of each host
+    std::map<std::uint64_t, storage::entry> proposed_; ///< commands not yet acknowledged, by index
+    std::map<std::string, std::uint64_t> seen_term_;   ///< term in which each host was last seen as leader
     std::optional<consensus::replacement_policy> replacement_;
     checker checks_;
 };
--- a/tests/consensus/node_test.cpp
+++ b/tests/consensus/node_test.cpp
@@ -31,7 +31,7 @@
     return store;
 }
 
-message only(const effects& out, const member_id& to, message_kind kind) {
+message find_message(const effects& out, const member_id& to, message_kind kind) {
     for (const message& m : out.messages) {
         if (m.to == to && m.kind == kind) {
             return m;
@@ -41,9 +41,9 @@
     return {};
 }
 
-/// Two candidates of one term; the voter c restarts between their requests.
-/// @param persisted whether c's disk kept its term and vote
-void elect_around_a_restart(checker& checks, bool persisted) {
+/// Two candidates of one term ask voter c for its vote; c restarts between their requests.
+/// @param persisted whether c's term and vote survive the restart
+void elect_during_restart(checker& checks, bool persisted) {
     const membership members{{a, b, c}, {}};
     const auto store_a = voter_store(members);
     const auto store_b = voter_store(members);
@@ -53,13 +53,15 @@
     std::optional<node> node_c(std::in_place, settings_of(c), *store_c, at(0ms));
 
     const auto become_candidate = [&](node& candidate, const member_id& self) {
-        const auto question = only(candidate.tick(at(500ms)), c, message_kind::pre_vote_request);
-        const auto answer = only(node_c->receive(question, at(500ms)), self, message_kind::pre_vote_reply);
-        return only(candidate.receive(answer, at(500ms)), c, message_kind::vote_request);
+        const auto request = find_message(candidate.tick(at(500ms)), c, message_kind::pre_vote_request);
+        const auto reply =
+            find_message(node_c->receive(request, at(500ms)), self, message_kind::pre_vote_reply);
+        return find_message(candidate.receive(reply, at(500ms)), c, message_kind::vote_request);
     };
     const message request_a = become_candidate(node_a, a);
     const message request_b = become_candidate(node_b, b);
-    node_a.receive(only(node_c->receive(request_a, at(501ms)), a, message_kind::vote_reply), at(502ms));
+    node_a.receive(find_message(node_c->receive(request_a, at(501ms)), a, message_kind::vote_reply),
+                   at(502ms));
     REQUIRE(node_a.current_role() == role::leader);
     checks.on_leader(a, node_a.term(), *store_a);
 
@@ -67,13 +69,14 @@
         store_c->save_hard_state({1, ""});
     }
     node_c.emplace(settings_of(c), *store_c, at(510ms));
-    node_b.receive(only(node_c->receive(request_b, at(800ms)), b, message_kind::vote_reply), at(801ms));
+    node_b.receive(find_message(node_c->receive(request_b, at(800ms)), b, message_kind::vote_reply),
+                   at(801ms));
     if (node_b.current_role() == role::leader) {
         checks.on_leader(b, node_b.term(), *store_b);
     }
 }
 
-effects elect_alone(node& it) {
+effects elect_single_voter(node& it) {
     effects out = it.tick(at(1s));
     REQUIRE(it.current_role() == role::leader);
     return out;
@@ -81,23 +84,23 @@
 
 } // namespace
 
-TEST_CASE("a voter remembers its vote over a restart") {
+TEST_CASE("a voter keeps its vote across a restart") {
     checker checks;
-    elect_around_a_restart(checks, true);
+    elect_during_restart(checks, true);
     CHECK(checks.clean());
 }
 
 TEST_CASE("the checker detects two leaders elected by a vote that was not persisted") {
     checker checks;
-    elect_around_a_restart(checks, false);
+    elect_during_restart(checks, false);
     CHECK(checks.found(violation::two_leaders_in_term));
 }
 
-TEST_CASE("a group of one commits at once and holds its lease") {
+TEST_CASE("a group with one voter commits at once and has a lease") {
     const auto store = voter_store({{a}, {}});
     node it(settings_of(a), *store, at(0ms));
     CHECK(it.leadership_valid_until() == time_point{});
-    CHECK(elect_alone(it).committed.size() == 2); // the initial membership and the no-op
+    CHECK(elect_single_voter(it).committed.size() == 2); // the initial membership and the no-op
     CHECK(it.leadership_valid_until() == at(1s + 180ms));
     effects out;
     const auto index = it.propose("x", at(1s), out);
@@ -106,7 +109,7 @@
     CHECK(out.committed.front().data == "x");
 }
 
-TEST_CASE("messages that are not meant for this member change nothing") {
+TEST_CASE("messages for another member and malformed messages are ignored") {
     const auto store = voter_store({{a, b}, {}});
     node it(settings_of(a), *store, at(0ms));
     message m;
@@ -132,13 +135,13 @@
     CHECK_FALSE(it.leader().has_value());
 }
 
-TEST_CASE("only the leader accepts commands and changes, and changes are checked") {
+TEST_CASE("only the leader accepts commands and membership changes, and it rejects invalid changes") {
     const auto store = voter_store({{a}, {}});
     node it(settings_of(a), *store, at(0ms));
     effects out;
     CHECK_THROWS_AS(it.propose("x", at(0ms), out), not_leader);
     CHECK_THROWS_AS(it.change_membership({change_kind::add_learner, b}, at(0ms), out), not_leader);
-    elect_alone(it);
+    elect_single_voter(it);
     CHECK_THROWS_AS(it.change_membership({change_kind::promote, b}, at(1s), out), change_refused);
     CHECK_THROWS_AS(it.change_membership({change_kind::remove, b}, at(1s), out), change_refused);
     CHECK_THROWS_AS(it.change_membership({change_kind::remove, a}, at(1s), out), change_refused);
@@ -146,23 +149,23 @@
     CHECK_FALSE(it.change_in_progress());
     CHECK_THROWS_AS(it.change_membership({change_kind::add_learner, b}, at(1s), out), change_refused);
     CHECK_THROWS_AS(it.change_membership({change_kind::promote, b}, at(1s), out),
-                    change_refused); // has nothing yet
+                    change_refused); // b has no entries yet
 }
 
 TEST_CASE("a leader without a quorum steps down within an election timeout") {
     const auto store = voter_store({{a, b, c}, {}});
     node it(settings_of(a), *store, at(0ms));
-    auto question = only(it.tick(at(500ms)), b, message_kind::pre_vote_request);
-    message answer = question;
-    answer.from = b;
-    answer.to = a;
-    answer.accepted = true;
-    answer.kind = message_kind::pre_vote_reply;
-    it.receive(answer, at(500ms));
-    answer.kind = message_kind::vote_reply;
-    it.receive(answer, at(500ms));
+    auto request = find_message(it.tick(at(500ms)), b, message_kind::pre_vote_request);
+    message reply = request;
+    reply.from = b;
+    reply.to = a;
+    reply.accepted = true;
+    reply.kind = message_kind::pre_vote_reply;
+    it.receive(reply, at(500ms));
+    reply.kind = message_kind::vote_reply;
+    it.receive(reply, at(500ms));
     REQUIRE(it.current_role() == role::leader);
-    CHECK(it.leadership_valid_until() == time_point{}); // no round is confirmed yet
+    CHECK(it.leadership_valid_until() == time_point{}); // no heartbeat round is confirmed yet
     it.tick(at(699ms));
     CHECK(it.current_role() == role::leader);
     it.tick(at(700ms));
@@ -184,7 +187,7 @@
     const auto store = voter_store({{a}, {}});
     {
         node it(settings_of(a), *store, at(0ms));
-        elect_alone(it);
+        elect_single_voter(it);
         effects out;
         const auto index = it.propose("x", at(1s), out);
         CHECK_THROWS_AS(it.compact(index + 1, "state"), invalid_input);
--- a/tests/consensus/random_test.cpp
+++ b/tests/consensus/random_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Applies one random fault or repair; at most a minority is down at a time.
-void disturb(fake_network& net, std::mt19937_64& random, bool allow_lost_disk) {
+/// Injects or repairs one random fault; at most a minority is down at a time.
+void inject_random_fault(fake_network& net, std::mt19937_64& random, bool allow_lost_disk) {
     std::vector<std::string> names;
     std::size_t down = 0;
     for (const auto& [name, it] : net.hosts()) {
@@ -51,8 +51,8 @@
     }
 }
 
-/// Several virtual seconds of random faults under a stream of commands, then a recovery.
-/// @param restart_all at times all members are restarted at once
+/// Injects random faults for several virtual seconds while commands are proposed, then repairs them all.
+/// @param restart_all whether some faults restart all members at once
 void run_random(fake_network& net, std::uint64_t seed, bool allow_lost_disk, bool restart_all = false) {
     std::mt19937_64 random(seed);
     for (int n = 0; n < 150; ++n) {
@@ -63,7 +63,7 @@
                 net.restart(name, false);
             }
         } else if (random() % 3 == 0) {
-            disturb(net, random, allow_lost_disk);
+            inject_random_fault(net, random, allow_lost_disk);
         }
     }
     net.heal();
@@ -80,7 +80,7 @@
     net.checks().finish();
 }
 
-network_options rough(std::uint64_t seed, std::size_t voters) {
+network_options lossy_network(std::uint64_t seed, std::size_t voters) {
     network_options settings;
     settings.voters = voters;
     settings.seed = seed;
@@ -91,11 +91,11 @@
     return settings;
 }
 
-/// Whether the checker reports @p kind in one of @p runs runs; stops at the first one that it does.
-bool detects(fault broken, violation kind, bool disks, int runs) {
+/// True if the checker reports @p kind in one of @p runs runs.
+bool detects(fault injected, violation kind, bool disks, int runs) {
     for (int seed = 1; seed <= runs; ++seed) {
-        network_options settings = rough(static_cast<std::uint64_t>(seed), 3);
-        settings.broken = broken;
+        network_options settings = lossy_network(static_cast<std::uint64_t>(seed), 3);
+        settings.injected = injected;
         settings.disks = disks;
         settings.compact_after = 0;
         fake_network net(settings);
@@ -109,13 +109,13 @@
 
 } // namespace
 
-TEST_CASE("no random sequence of crashes, pauses, cuts and losses breaks an invariant") {
+TEST_CASE("random crashes, pauses, network cuts and message losses violate no invariant") {
     for (const std::size_t voters : {3U, 5U}) {
         std::size_t total = 0;
         for (std::uint64_t seed = 1; seed <= 200; ++seed) {
             CAPTURE(voters);
             CAPTURE(seed);
-            fake_network net(rough(seed, voters));
+            fake_network net(lossy_network(seed, voters));
             run_random(net, seed, false);
             CHECK(net.checks().clean());
             CHECK_FALSE(net.leader().empty());
@@ -131,13 +131,13 @@
     }
 }
 
-TEST_CASE("automatic replacement under random faults and lost disks breaks no invariant") {
+TEST_CASE("automatic replacement of voters under random faults and lost disks violates no invariant") {
     for (const bool disks : {true, false}) {
         std::size_t changes = 0;
         for (std::uint64_t seed = 1; seed <= 100; ++seed) {
             CAPTURE(disks);
             CAPTURE(seed);
-            network_options settings = rough(seed, 3);
+            network_options settings = lossy_network(seed, 3);
             settings.spares = 2;
             settings.disks = disks;
             fake_network net(settings);
@@ -146,19 +146,18 @@
             CHECK(net.checks().clean());
             changes += net.changes_started();
         }
-        // The group may lose its majority for good here, so only the number of changes over all runs is
-        // bounded.
+        // A run may lose the majority permanently, so the number of changes is checked over all runs.
         CHECK(changes > 200);
     }
 }
 
-// Guards against two valid leases: a voter that restarted may have confirmed a leader just before.
-TEST_CASE("elections right after restarts break no invariant and no lease") {
+// Guards against two valid leases: a restarted voter may have confirmed a leader just before its restart.
+TEST_CASE("elections right after restarts violate no invariant and overlap no lease") {
     for (const std::size_t voters : {3U, 5U}) {
         for (std::uint64_t seed = 1; seed <= 200; ++seed) {
             CAPTURE(voters);
             CAPTURE(seed);
-            network_options settings = rough(seed, voters);
+            network_options settings = lossy_network(seed, voters);
             settings.elect_after_restart = true;
             fake_network net(settings);
             run_random(net, seed, false, true);
@@ -168,11 +167,11 @@
     }
 }
 
-TEST_CASE("a voter that restarts under a leader does not help another one to win while the lease runs") {
-    const auto breaks_lease = [](fault broken) {
+TEST_CASE("a restarted voter does not help elect a new leader while the old leader's lease is valid") {
+    const auto violates_lease = [](fault injected) {
         network_options settings;
         settings.elect_after_restart = true;
-        settings.broken = broken;
+        settings.injected = injected;
         fake_network net(settings);
         net.run(2s);
         const std::string leader = net.leader();
@@ -183,25 +182,25 @@
                 others.push_back(name);
             }
         }
-        // One follower does not hear the leader any more and asks for votes; the other one confirms the
-        // leader, and restarts.
+        // One follower is cut off from the leader and requests votes; the other one confirms the leader and
+        // restarts.
         net.cut(leader, others[0]);
         net.cut(others[0], leader);
         net.run(1s);
         REQUIRE(net.leader() == leader);
-        // The question has to come before the leader's next heartbeat.
+        // The vote request must arrive before the leader's next heartbeat, so the restart is repeated.
         for (int n = 0; n < 40; ++n) {
             net.restart(others[1], false);
             net.run(137ms);
         }
-        return net.checks().found(violation::broken_lease);
+        return net.checks().found(violation::overlapping_lease);
     };
-    CHECK_FALSE(breaks_lease(fault::none));
-    CHECK(breaks_lease(fault::hides_provisional));
+    CHECK_FALSE(violates_lease(fault::none));
+    CHECK(violates_lease(fault::hides_provisional));
 }
 
-TEST_CASE("the checker detects broken variants in random runs") {
-    SUBCASE("a forgotten fsync loses committed entries") {
+TEST_CASE("the checker detects injected bugs in random runs") {
+    SUBCASE("a missing fsync loses committed entries") {
         CHECK(detects(fault::forgets_fsync, violation::committed_entry_changed, true, 60));
         CHECK(detects(fault::forgets_fsync, violation::incomplete_leader, true, 60));
         CHECK(detects(fault::forgets_fsync, violation::lost_command, true, 60));
@@ -212,10 +211,10 @@
     SUBCASE("a command acknowledged before its commit is lost") {
         CHECK(detects(fault::acknowledges_early, violation::lost_command, true, 60));
     }
-    SUBCASE("a voter that votes right after its restart breaks the leader's lease") {
-        CHECK(detects(fault::forgets_leader, violation::broken_lease, true, 60));
+    SUBCASE("a voter that votes right after its restart causes overlapping leases") {
+        CHECK(detects(fault::forgets_leader, violation::overlapping_lease, true, 60));
     }
-    SUBCASE("followers that confirm what they did not store lose committed entries") {
+    SUBCASE("followers that confirm entries without storing them lose committed entries") {
         CHECK(detects(fault::acknowledges_unstored, violation::incomplete_leader, true, 60));
     }
     SUBCASE("a state machine that applies a command twice diverges") {
--- a/tests/consensus/replacement_test.cpp
+++ b/tests/consensus/replacement_test.cpp
@@ -22,7 +22,7 @@
     return result;
 }
 
-/// @param lost members that have been silent for longer than the limit
+/// @param lost members that the leader has not heard from for longer than lost_after
 /// @param behind learners that have not caught up
 replacement_view view(const std::string& voters, const std::string& learners, const std::string& lost,
                       const std::string& spares, const std::string& behind = "") {
@@ -50,13 +50,13 @@
 } // namespace
 
 TEST_CASE("a lost voter is replaced one change at a time") {
-    SUBCASE("nothing happens while all are heard from") {
+    SUBCASE("nothing changes while all voters are live") {
         CHECK(decision(view("abc", "", "", "de")) == "none");
     }
     SUBCASE("the first spare becomes a learner") {
         CHECK(decision(view("abc", "", "c", "de")) == "add d");
     }
-    SUBCASE("members are not spares") {
+    SUBCASE("a member is not used as a spare") {
         CHECK(decision(view("abc", "", "c", "abc")) == "none");
     }
     SUBCASE("the learner is promoted only once it has caught up") {
@@ -66,11 +66,11 @@
     SUBCASE("then the lost voter is removed") {
         CHECK(decision(view("abcd", "", "c", "e")) == "remove c");
     }
-    SUBCASE("a learner that is lost in turn is removed before the next spare is tried") {
+    SUBCASE("a lost learner is removed before the next spare is added") {
         CHECK(decision(view("abc", "d", "cd", "e")) == "remove d");
         CHECK(decision(view("abc", "", "c", "e")) == "add e");
     }
-    SUBCASE("a second change waits for the first") {
+    SUBCASE("no change is made while another is in progress") {
         auto seen = view("abc", "", "c", "de");
         seen.change_in_progress = true;
         CHECK(decision(seen) == "none");
@@ -93,7 +93,7 @@
     }
 }
 
-TEST_CASE("the number of voters is brought to the configured one") {
+TEST_CASE("voters are added or removed until the configured number is reached") {
     CHECK(decision(view("abc", "", "", "de"), 5) == "add d");
     CHECK(decision(view("abc", "d", "", "e"), 5) == "promote d");
     CHECK(decision(view("abcd", "", "", "e"), 3) == "remove b");
--- a/tests/consensus/scenario_test.cpp
+++ b/tests/consensus/scenario_test.cpp
@@ -24,8 +24,9 @@
     return result;
 }
 
-/// Interprets the steps of a scenario. Hosts are named a, b, c, ...; "leader" is the current leader, "other"
-/// and "third" are the first and second running voter besides it, and "as" names a host for later steps.
+/// Executes the steps of a scenario. Hosts are named a, b, c, ...; "leader" is the current leader, "other"
+/// and "third" are the first and second running voter besides it. A step's "as" gives its host a name for
+/// later steps.
 class interpreter {
 public:
     explicit interpreter(const scenario& script) : net_(options_of(script)) {}
@@ -45,11 +46,11 @@
 private:
     using verb = void (interpreter::*)();
 
-    std::string host(const std::string& key = "host") {
+    std::string resolve_host(const std::string& key = "host") {
         const std::string text = step_->text(key);
         std::string name = text;
         if (text == "leader" || text == "other" || text == "third") {
-            name = role_holder(text);
+            name = resolve_role(text);
         } else if (names_.contains(text)) {
             name = names_.at(text);
         }
@@ -60,7 +61,7 @@
         REQUIRE_MESSAGE((name == "*" || net_.hosts().contains(name)), "unknown host " << text);
         return name;
     }
-    std::string role_holder(const std::string& text) {
+    std::string resolve_role(const std::string& text) {
         const std::string leader = net_.leader();
         REQUIRE_FALSE(leader.empty());
         std::vector<std::string> others;
@@ -88,16 +89,16 @@
         net_.run_until([&] { return net_.checks().acknowledged() >= wanted; }, ms("within_ms", 300));
         CHECK(net_.checks().acknowledged() == wanted);
     }
-    void do_kill() { net_.kill(host()); }
-    void do_restart() { net_.restart(host(), step_->text("disk", "kept") == "lost"); }
-    void do_pause() { net_.pause(host()); }
-    void do_resume() { net_.resume(host()); }
+    void do_kill() { net_.kill(resolve_host()); }
+    void do_restart() { net_.restart(resolve_host(), step_->text("disk", "kept") == "lost"); }
+    void do_pause() { net_.pause(resolve_host()); }
+    void do_resume() { net_.resume(resolve_host()); }
     void do_cut() {
-        const std::string from = host("from");
-        net_.cut(from, host("to"));
+        const std::string from = resolve_host("from");
+        net_.cut(from, resolve_host("to"));
     }
     void do_isolate() {
-        const std::string name = host();
+        const std::string name = resolve_host();
         net_.cut(name, "*");
         net_.cut("*", name);
     }
@@ -110,7 +111,7 @@
         static const std::map<std::string, change_kind> kinds{{"add_learner", change_kind::add_learner},
                                                               {"promote", change_kind::promote},
                                                               {"remove", change_kind::remove}};
-        return net_.change({kinds.at(step_->text("kind")), net_.at(host()).id});
+        return net_.change({kinds.at(step_->text("kind")), net_.at(resolve_host()).id});
     }
     void do_change() { CHECK(change()); }
     void do_refuse_change() { CHECK_FALSE(change()); }
@@ -144,7 +145,7 @@
         };
         CHECK(net_.run_until(reached, ms("within_ms", 2000)));
     }
-    /// Names of the voters whose incarnation is the running one.
+    /// Sorted names of the voters; " (old)" marks an incarnation that no longer runs.
     std::vector<std::string> voters(const std::string& name) {
         std::vector<std::string> result;
         for (const auto& id : net_.at(name).node->members().voters) {
@@ -190,7 +191,7 @@
 
 } // namespace
 
-TEST_CASE("scripted scenarios") {
+TEST_CASE("scripted consensus scenarios") {
     const auto files = scenarios_of("consensus");
     CHECK(files.size() >= 10);
     for (const auto& file : files) {
