--- a/benchmark/consensus_commit.cpp
+++ b/benchmark/consensus_commit.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Payload bytes of a message, with 8 bytes for each number and without the transport's framing.
+/// Payload bytes of a message without framing; each number counts as 8 bytes.
 std::size_t size_of(const message& m) {
     std::size_t bytes = 2 + 7 * 8 + m.from.name.size() + m.to.name.size() + 16;
     for (const storage::entry& it : m.entries) {
@@ -20,7 +20,7 @@
     return bytes;
 }
 
-/// Group on memory stores in virtual time with a fixed delay of each message.
+/// A group with memory stores, in virtual time, with a fixed message delay.
 class group {
 public:
     group(std::size_t voters, std::uint64_t seed) {
@@ -118,10 +118,10 @@
         it.step();
     }
     const double seconds = std::chrono::duration<double>(steady_now() - start).count();
-    const double idle = std::chrono::duration<double>(it.now - virtual_start).count();
+    const double elapsed = std::chrono::duration<double>(it.now - virtual_start).count();
     std::printf("%6zu %14.0f %12.1f %12.0f %14.0f %12.0f\n", voters, commands / seconds,
-                (static_cast<double>(it.messages) - idle * idle_messages) / commands,
-                (static_cast<double>(it.bytes) - idle * idle_bytes) / commands, idle_messages, idle_bytes);
+                (static_cast<double>(it.messages) - elapsed * idle_messages) / commands,
+                (static_cast<double>(it.bytes) - elapsed * idle_bytes) / commands, idle_messages, idle_bytes);
 }
 
 void measure_elections(std::size_t voters) {
