--- a/src/storage/file_log_store.cpp
+++ b/src/storage/file_log_store.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::uint64_t draw_identity() {
+std::uint64_t random_identity() {
     std::random_device source;
     std::uint64_t value = 0;
     while (value == 0) {
@@ -22,8 +22,8 @@
     return failure.code() == ENOSPC || failure.code() == EDQUOT;
 }
 
-/// Each write is one record in the file "log". Creation and snapshots write "log.new" and rename it, so that
-/// a crash leaves either the old or the new file.
+/// Each write appends one record to the file "log". Creation and snapshots write "log.new" and rename it, so
+/// that a crash leaves either the old or the new file.
 class file_log_store final : public log_store {
 public:
     file_log_store(std::shared_ptr<file_system> files, std::filesystem::path folder,
@@ -35,7 +35,7 @@
         if (const auto content = files_->read(path_)) {
             recover(*content);
         } else {
-            image_.identity = draw_identity();
+            image_.identity = random_identity();
             rewrite();
         }
     }
@@ -90,7 +90,7 @@
         if (size_ < content.size()) {
             file_->truncate(size_);
         }
-        // What was read may still be only in the page cache of a process that was killed before its fsync.
+        // A process that was killed before its fsync may have left what was read only in the page cache.
         file_->sync();
         files_->sync_folder(folder_);
     }
@@ -101,9 +101,9 @@
         add_record(bytes, payload, image_.identity + size_);
         usable_ = false;
         bool again = false;
-        when_there_is_room([&] {
+        retry_while_disk_full([&] {
             if (again) {
-                file_->truncate(size_); // what the failed append left behind
+                file_->truncate(size_); // removes a partial record of the failed append
             }
             again = true;
             file_->append(bytes);
@@ -113,9 +113,9 @@
         usable_ = true;
     }
 
-    /// Runs @p step again for as long as the policy waits for room.
+    /// Repeats @p step while the disk is full and the policy asks for a retry.
     template <typename Step>
-    void when_there_is_room(const Step& step) {
+    void retry_while_disk_full(const Step& step) {
         bool waited = false;
         for (;;) {
             try {
@@ -154,7 +154,7 @@
         const auto next = folder_ / "log.new";
         usable_ = false;
         std::unique_ptr<log_file> file;
-        when_there_is_room([&] {
+        retry_while_disk_full([&] {
             file = files_->open(next, true);
             file->append(bytes);
         });
--- a/src/storage/file_system.h
+++ b/src/storage/file_system.h
@@ -9,7 +9,7 @@
 
 namespace kingcupseam::storage {
 
-/// An open file that is only appended to and cut. All members throw io_error.
+/// An open file that supports only append, truncate and sync. All members throw io_error.
 class log_file {
 public:
     log_file() = default;
@@ -22,7 +22,7 @@
     virtual void sync() = 0;
 };
 
-/// File operations of the store. Tests substitute a disk that fails or crashes between any two operations.
+/// File operations of the store. Tests substitute a disk that fails or loses power at a chosen operation.
 class file_system {
 public:
     file_system() = default;
@@ -31,12 +31,13 @@
     virtual ~file_system() = default;
 
     virtual void create_folder(const std::filesystem::path& folder) = 0;
-    /// Holds an exclusive lock on the folder for as long as the returned object lives.
+    /// Locks the folder exclusively until the returned object is destroyed.
     virtual std::shared_ptr<void> lock_folder(const std::filesystem::path& folder) = 0;
     virtual void sync_folder(const std::filesystem::path& folder) = 0;
-    /// Whole content, or empty when the file does not exist.
+    /// Whole content; empty if the file does not exist.
     virtual std::optional<std::string> read(const std::filesystem::path& file) = 0;
-    /// Opens for appending; @p replace starts with an empty file, which is created when missing.
+    /// Opens a file for appending.
+    /// @param replace creates the file if it is missing and empties it
     virtual std::unique_ptr<log_file> open(const std::filesystem::path& file, bool replace) = 0;
     virtual void rename(const std::filesystem::path& from, const std::filesystem::path& to) = 0;
 };
--- a/src/storage/log_image.h
+++ b/src/storage/log_image.h
@@ -6,18 +6,18 @@
 
 namespace kingcupseam::storage {
 
-/// Content of a log store in memory; both stores answer their reads from it.
+/// In-memory content of a log store, from which both kinds of store serve reads.
 struct log_image {
     std::uint64_t identity = 0;
     hard_state state;
     std::optional<snapshot> base;
-    std::deque<entry> entries;
+    std::deque<entry> entries; ///< after base
 
     std::uint64_t base_index() const { return base ? base->index : 0; }
     std::uint64_t last_index() const { return base_index() + entries.size(); }
     std::optional<std::uint64_t> term_at(std::uint64_t index) const;
     std::vector<entry> read(std::uint64_t first, std::size_t max_bytes) const;
-    /// True when @p batch continues the log without a gap.
+    /// True if @p batch continues the log without a gap.
     bool continues(std::span<const entry> batch) const;
     void append(std::span<const entry> batch);
     void truncate_after(std::uint64_t index);
--- a/src/storage/record.cpp
+++ b/src/storage/record.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint32_t magic = 0x4b43534c;
-constexpr std::size_t header_bytes = 4 + 8 + 8 + 8;
+constexpr std::size_t header_bytes = 4 + 8 + 8 + 8; // see add_record()
 
 void put(std::string& out, std::uint64_t value, int bytes) {
     for (int n = 0; n < bytes; ++n) {
@@ -30,7 +30,7 @@
     return value;
 }
 
-/// Reads the fields of one payload; a short payload throws corrupt_log.
+/// Reads the fields of one payload. Throws corrupt_log if the payload is too short.
 class reader {
 public:
     reader(const std::string& path, std::uint64_t offset, std::string_view rest)
@@ -59,7 +59,7 @@
     std::string_view rest_;
 };
 
-std::string begin(record_kind kind) {
+std::string start_payload(record_kind kind) {
     return {static_cast<char>(kind)};
 }
 
@@ -71,7 +71,7 @@
         it.term = in.number();
         const std::uint64_t kind = in.number(1);
         if (kind > static_cast<std::uint64_t>(entry_kind::no_op)) {
-            in.fail("unknown kind of entry");
+            in.fail("unknown entry kind");
         }
         it.kind = static_cast<entry_kind>(kind);
         it.data = in.text();
@@ -95,7 +95,7 @@
 void apply(log_image& image, reader& in, bool first) {
     const auto kind = static_cast<record_kind>(in.number(1));
     if (first != (kind == record_kind::identity)) {
-        in.fail("the first record, and only the first, must be the identity");
+        in.fail("an identity record must come first, and only there");
     }
     switch (kind) {
     case record_kind::identity:
@@ -115,7 +115,7 @@
         apply_snapshot(image, in);
         break;
     default:
-        in.fail("unknown kind of record");
+        in.fail("unknown record kind");
     }
     if (!in.empty()) {
         in.fail("record is longer than its fields");
@@ -127,7 +127,7 @@
            get(content, at + 12, 8) == XXH3_64bits_withSeed(content.data() + at, 12, seed);
 }
 
-/// Payload of the record at @p at, or empty when the record is damaged or incomplete.
+/// Payload of the record at @p at; empty if the record is damaged or incomplete.
 std::optional<std::string_view> intact_payload(std::string_view content, std::uint64_t at,
                                                std::uint64_t seed) {
     if (!header_valid(content, at, seed)) {
@@ -144,9 +144,9 @@
     return payload;
 }
 
-/// A crash damages only the last write, and each write is one record. A later intact header therefore shows
-/// that acknowledged bytes were damaged.
-bool record_follows(std::string_view content, std::uint64_t damaged, std::uint64_t identity) {
+/// True if an intact record header follows the damaged record. A crash can damage only the last write, and
+/// each write is one record, so the damaged record was acknowledged then.
+bool header_follows(std::string_view content, std::uint64_t damaged, std::uint64_t identity) {
     std::uint64_t from = damaged + 1;
     if (header_valid(content, damaged, identity + damaged)) {
         from = damaged + header_bytes + std::min<std::uint64_t>(get(content, damaged + 4, 8), content.size());
@@ -162,20 +162,20 @@
 } // namespace
 
 std::string identity_payload(std::uint64_t identity) {
-    std::string out = begin(record_kind::identity);
+    std::string out = start_payload(record_kind::identity);
     put(out, identity, 8);
     return out;
 }
 
 std::string hard_state_payload(const hard_state& state) {
-    std::string out = begin(record_kind::hard_state);
+    std::string out = start_payload(record_kind::hard_state);
     put(out, state.term, 8);
     put_text(out, state.voted_for);
     return out;
 }
 
 std::string entries_payload(std::span<const entry> batch) {
-    std::string out = begin(record_kind::entries);
+    std::string out = start_payload(record_kind::entries);
     for (const entry& it : batch) {
         put(out, it.index, 8);
         put(out, it.term, 8);
@@ -186,13 +186,13 @@
 }
 
 std::string truncate_payload(std::uint64_t index) {
-    std::string out = begin(record_kind::truncate);
+    std::string out = start_payload(record_kind::truncate);
     put(out, index, 8);
     return out;
 }
 
 std::string snapshot_payload(const snapshot& state) {
-    std::string out = begin(record_kind::snapshot);
+    std::string out = start_payload(record_kind::snapshot);
     put(out, state.index, 8);
     put(out, state.term, 8);
     put_text(out, state.membership);
@@ -216,7 +216,7 @@
     while (at < content.size()) {
         const std::uint64_t seed = result.image.identity + at;
         const auto payload = intact_payload(content, at, seed);
-        if (!payload && at > 0 && !record_follows(content, at, result.image.identity)) {
+        if (!payload && at > 0 && !header_follows(content, at, result.image.identity)) {
             break;
         }
         if (!payload) {
@@ -227,7 +227,7 @@
         at += header_bytes + payload->size();
     }
     if (at == 0) {
-        // The file is renamed into place after its first record was synced, so it is never empty.
+        // A new file is renamed into place only after its first record was synced, so it is never empty.
         throw corrupt_log(path, 0, "the file is empty");
     }
     result.valid_bytes = at;
--- a/src/storage/record.h
+++ b/src/storage/record.h
@@ -7,7 +7,7 @@
 
 namespace kingcupseam::storage {
 
-/// Kinds of records. Values are part of the file format.
+/// The values are part of the file format.
 enum class record_kind : std::uint8_t {
     identity = 1,
     hard_state = 2,
@@ -22,19 +22,20 @@
 std::string truncate_payload(std::uint64_t index);
 std::string snapshot_payload(const snapshot& state);
 
-/// Adds a record to @p out: magic, length, checksum of the header, checksum of the payload, payload.
-/// @param seed identity plus offset of the record, so that record bytes inside user data never pass as a
-/// record and a record at another place or from another store is refused
+/// Adds a record to @p out: magic, length, checksum of the two, checksum of the payload, payload.
+/// @param seed seed of the checksums: identity plus offset of the record. It keeps bytes that look like a
+/// record inside user data, and records at another offset or of another store, from passing as a record.
 void add_record(std::string& out, std::string_view payload, std::uint64_t seed);
 
 /// Result of reading a log file.
 struct scan_result {
     log_image image;
-    std::uint64_t valid_bytes = 0; ///< the rest is a torn tail
+    std::uint64_t valid_bytes = 0; ///< the rest is an incomplete last write
 };
 
-/// @throws corrupt_log when a damaged record is followed by an intact one, or when a record contradicts the
-/// ones before it
+/// Reads a log file.
+/// @throws corrupt_log if the damage is not confined to the last record, or if a record contradicts earlier
+/// ones
 scan_result scan_log(const std::string& path, std::string_view content);
 
 } // namespace kingcupseam::storage
