--- a/benchmark/storage_append.cpp
+++ b/benchmark/storage_append.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-/// Usage: bench_storage_append [FOLDER]; the folder's disk is the one that is measured.
+/// Usage: bench_storage_append [FOLDER]; measures the disk of FOLDER.
 int main(int argc, char** argv) {
     const std::filesystem::path base = argc > 1 ? argv[1] : std::filesystem::temp_directory_path();
     std::printf("append and fsync, microseconds\n%8s %6s %8s %10s %10s %10s\n", "bytes", "batch", "appends",
--- a/fuzz/storage_log_reader.cpp
+++ b/fuzz/storage_log_reader.cpp
@@ -15,7 +15,7 @@
     void sync() override {}
 };
 
-/// A folder whose log has the given bytes.
+/// A file system whose only file has the given content.
 class one_file_system final : public file_system {
 public:
     explicit one_file_system(std::string content) : content_(std::move(content)) {}
@@ -40,7 +40,7 @@
     }
 }
 
-/// Wraps pieces of the input in valid records, so that the fuzzer gets past the checksums.
+/// Wraps pieces of the input in valid records, so that the fuzzer passes the checksums.
 std::string as_records(std::string_view input) {
     constexpr std::uint64_t identity = 1;
     std::string out;
--- a/tests/storage/crash_test.cpp
+++ b/tests/storage/crash_test.cpp
@@ -6,12 +6,12 @@
 
 using namespace kingcupseam;
 using namespace kingcupseam::storage;
-using kingcupseam::test::crashed;
 using kingcupseam::test::fake_disk;
+using kingcupseam::test::power_loss;
 
 namespace {
 
-std::shared_ptr<fake_disk> borrowed(fake_disk& disk) {
+std::shared_ptr<fake_disk> non_owning(fake_disk& disk) {
     return {std::shared_ptr<void>(), &disk};
 }
 
@@ -27,7 +27,7 @@
     return {store.load_hard_state(), store.load_snapshot(), store.entries(store.first_index(), 1 << 30)};
 }
 
-/// One step of a workload, applied alike to the store under test and to a memory store as the model.
+/// One step of a workload, applied both to the store under test and to a memory store that serves as model.
 void apply_step(log_store& store, std::uint64_t choice) {
     const std::uint64_t last = store.last_index();
     const std::uint64_t term = store.load_hard_state().term;
@@ -54,12 +54,12 @@
 }
 
 struct run_result {
-    bool crashed_in_time = false;
-    bool forgot = false;
+    bool lost_power = false;
+    bool lost_data = false;
 };
 
-/// Runs a workload until operation @p crash_at, loses power and reopens. The store must hold what was
-/// acknowledged, or that plus the one write in progress.
+/// Runs a workload until power is lost at operation @p crash_at, then reopens the store. It must contain what
+/// was acknowledged, with or without the write that was in progress.
 run_result run_with_crash(std::uint64_t seed, int crash_at, bool ignores_sync) {
     fake_disk disk;
     disk.random.seed(seed * 7919 + static_cast<std::uint64_t>(crash_at));
@@ -71,7 +71,7 @@
     content before;
     run_result result;
     try {
-        const auto store = open_log_store_on(borrowed(disk), "data");
+        const auto store = open_log_store_on(non_owning(disk), "data");
         identity = store->identity();
         for (int n = 0; n < 40; ++n) {
             const std::uint64_t choice = choices();
@@ -80,70 +80,70 @@
             apply_step(*store, choice);
             before = content_of(*acknowledged);
         }
-    } catch (const crashed&) {
-        result.crashed_in_time = true;
+    } catch (const power_loss&) {
+        result.lost_power = true;
     }
     const content after = content_of(*acknowledged);
     disk.lose_power();
     try {
-        const auto store = open_log_store_on(borrowed(disk), "data");
+        const auto store = open_log_store_on(non_owning(disk), "data");
         const content found = content_of(*store);
-        result.forgot =
+        result.lost_data =
             (found != before && found != after) || (identity != 0 && store->identity() != identity);
     } catch (const corrupt_log&) {
-        result.forgot = true;
+        result.lost_data = true;
     }
     return result;
 }
 
-/// Number of crash points at which acknowledged state was lost.
-int count_forgotten(bool ignores_sync) {
-    int forgotten = 0;
+/// Number of crash points at which acknowledged data was lost.
+int count_lost_data(bool ignores_sync) {
+    int lost = 0;
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         for (int at = 0;; ++at) {
             const run_result result = run_with_crash(seed, at, ignores_sync);
-            forgotten += result.forgot ? 1 : 0;
-            if (!result.crashed_in_time) {
+            lost += result.lost_data ? 1 : 0;
+            if (!result.lost_power) {
                 break;
             }
         }
     }
-    return forgotten;
+    return lost;
 }
 
 } // namespace
 
-TEST_CASE("no acknowledged write is forgotten by a crash between any two operations") {
-    CHECK(count_forgotten(false) == 0);
+TEST_CASE("a crash at any operation loses no acknowledged write") {
+    CHECK(count_lost_data(false) == 0);
 }
 
 TEST_CASE("the crash test detects a disk whose fsync does nothing") {
-    CHECK(count_forgotten(true) > 0);
+    CHECK(count_lost_data(true) > 0);
 }
 
-TEST_CASE("a crash during recovery does not lose what the first recovery would have found") {
+TEST_CASE("a crash during recovery loses no acknowledged write") {
     for (int at = 0; at < 6; ++at) {
         fake_disk disk;
         std::optional<content> expected;
         {
-            const auto store = open_log_store_on(borrowed(disk), "data");
+            const auto store = open_log_store_on(non_owning(disk), "data");
             store->append(std::vector<entry>{{1, 1, entry_kind::command, "one"}});
             expected = content_of(*store);
         }
         disk.bytes("data/log") += "torn";
         disk.crash_at = disk.operations + at;
         try {
-            open_log_store_on(borrowed(disk), "data");
-        } catch (const crashed&) {
+            open_log_store_on(non_owning(disk), "data");
+        } catch (const power_loss&) {
         }
         disk.lose_power();
-        CHECK(content_of(*open_log_store_on(borrowed(disk), "data")) == *expected);
+        CHECK(content_of(*open_log_store_on(non_owning(disk), "data")) == *expected);
     }
 }
 
-TEST_CASE("a failing disk is reported, and the store then refuses to continue") {
+TEST_CASE("a disk failure is reported, and the store then refuses writes") {
     fake_disk disk;
-    const auto store = open_log_store_on(borrowed(disk), "data");
+    const auto store = open_log_store_on(non_owning(disk), "data");
     const std::vector<entry> first{{1, 1, entry_kind::command, "one"}};
     const std::vector<entry> second{{2, 1, entry_kind::command, "two"}};
     store->append(first);
@@ -159,19 +159,20 @@
     }
     CHECK_THROWS_AS(store->append(second), io_error);
     disk.fail_at = disk.fail_sync_at = -1;
-    // After a failed fsync the kernel may drop the dirty pages, so a later success proves nothing.
+    // After a failed fsync the kernel may drop the dirty pages, so a later fsync that succeeds proves
+    // nothing.
     CHECK_THROWS_AS(store->append(second), io_error);
     CHECK_THROWS_AS(store->save_hard_state({9, "x"}), io_error);
     CHECK_THROWS_AS(store->save_snapshot({1, 1, "", ""}), io_error);
     disk.lose_power();
-    const auto reopened = open_log_store_on(borrowed(disk), "data");
+    const auto reopened = open_log_store_on(non_owning(disk), "data");
     CHECK(reopened->last_index() >= 1);
     CHECK(reopened->entries(1, 100).front() == first.front());
 }
 
 namespace {
 
-/// Frees the disk after some tries.
+/// Frees space after some retries.
 class freeing_policy final : public full_disk_policy {
 public:
     freeing_policy(fake_disk& disk, int tries_until_room) : disk_(disk), left_(tries_until_room) {}
@@ -195,29 +196,29 @@
 
 } // namespace
 
-// Guards against a control instance that ends, and is started again, for as long as its disk is full.
-TEST_CASE("a store with a policy waits until a full disk has room") {
+// Guards against a control instance that stops and is restarted over and over while its disk is full.
+TEST_CASE("a store with a full_disk_policy waits until a full disk has space") {
     fake_disk disk;
     const auto policy = std::make_shared<freeing_policy>(disk, 3);
-    const auto store = open_log_store_on(borrowed(disk), "data", policy);
+    const auto store = open_log_store_on(non_owning(disk), "data", policy);
     const std::vector<entry> first{{1, 1, entry_kind::command, "one"}};
     const std::vector<entry> second{{2, 1, entry_kind::command, "two"}};
     store->append(first);
     disk.fail_at = disk.operations;
 
-    SUBCASE("an append is durable afterwards, without the bytes of the failed tries") {
+    SUBCASE("the append is then durable, without partial records of the failed attempts") {
         store->append(second);
         CHECK(policy->waits == 3);
         CHECK(policy->recoveries == 1);
         disk.lose_power();
-        const auto reopened = open_log_store_on(borrowed(disk), "data");
+        const auto reopened = open_log_store_on(non_owning(disk), "data");
         CHECK(reopened->entries(1, 100) == std::vector<entry>{first.front(), second.front()});
     }
-    SUBCASE("a snapshot too") {
+    SUBCASE("a snapshot is then durable") {
         store->save_snapshot({1, 1, "members", "state"});
         CHECK(policy->recoveries == 1);
         disk.lose_power();
-        CHECK(open_log_store_on(borrowed(disk), "data")->load_snapshot() ==
+        CHECK(open_log_store_on(non_owning(disk), "data")->load_snapshot() ==
               snapshot{1, 1, "members", "state"});
     }
     SUBCASE("a policy that gives up leaves the store unusable") {
@@ -226,16 +227,16 @@
         disk.fail_at = -1;
         CHECK_THROWS_AS(store->append(second), io_error);
     }
-    SUBCASE("another failure is not waited for") {
+    SUBCASE("another failure is not retried") {
         disk.error_code = EROFS;
         CHECK_THROWS_AS(store->append(second), io_error);
         CHECK(policy->waits == 0);
     }
 }
 
-TEST_CASE("a folder that cannot be written is an io_error on creation") {
+TEST_CASE("creating a store in a read-only folder throws io_error") {
     fake_disk disk;
     disk.fail_at = 0;
     disk.error_code = EROFS;
-    CHECK_THROWS_AS(open_log_store_on(borrowed(disk), "data"), io_error);
+    CHECK_THROWS_AS(open_log_store_on(non_owning(disk), "data"), io_error);
 }
--- a/tests/storage/fake_disk.h
+++ b/tests/storage/fake_disk.h
@@ -10,11 +10,11 @@
 
 namespace kingcupseam::test {
 
-/// Power loss injected by fake_disk.
-struct crashed {};
+/// Thrown by fake_disk to simulate a power loss.
+struct power_loss {};
 
-/// Disk with a page cache: bytes and names survive a crash for certain only after a sync. A crash keeps a
-/// random part of what was not synced, possibly damaged.
+/// Disk with a page cache: only synced bytes and names are sure to survive a crash. Of the rest, a crash
+/// keeps a random part, possibly damaged.
 class fake_disk final : public storage::file_system {
 public:
     struct inode {
@@ -23,11 +23,11 @@
     };
 
     int operations = 0;
-    int crash_at = -1;         ///< the operation with this number throws crashed
+    int crash_at = -1;         ///< the operation with this number throws power_loss
     int fail_at = -1;          ///< from this operation on, writes fail with error_code
     int fail_sync_at = -1;     ///< from this operation on, syncs fail with EIO
     int error_code = ENOSPC;   ///< ENOSPC or EROFS
-    bool ignores_sync = false; ///< broken variant: fsync returns without writing
+    bool ignores_sync = false; ///< injected bug: fsync returns without writing
     std::mt19937_64 random{1};
 
     void create_folder(const std::filesystem::path&) override { step(); }
@@ -51,25 +51,25 @@
         names_.erase(from.string());
     }
 
-    /// What a machine finds after power loss.
+    /// Replaces the content of the disk by what a host finds after a power loss.
     void lose_power() {
         if (random() % 2 == 0) {
             names_ = durable_names_;
         }
         for (auto& [name, node] : names_) {
-            node->current = surviving(*node);
+            node->current = content_after_crash(*node);
             node->durable = node->current;
         }
         durable_names_ = names_;
         crash_at = fail_at = fail_sync_at = -1;
     }
 
-    /// Direct access to a file's bytes, to damage them.
+    /// Bytes of a file, for a test to damage.
     std::string& bytes(const std::string& name) { return names_.at(name)->current; }
 
     void step() {
         if (operations++ == crash_at) {
-            throw crashed{};
+            throw power_loss{};
         }
     }
     void write_step(const std::string& path) {
@@ -86,7 +86,7 @@
     }
 
 private:
-    std::string surviving(const inode& node) {
+    std::string content_after_crash(const inode& node) {
         const bool appended = node.current.starts_with(node.durable);
         if (!appended) {
             return random() % 2 == 0 ? node.durable : node.current;
--- a/tests/storage/storage_test.cpp
+++ b/tests/storage/storage_test.cpp
@@ -59,7 +59,7 @@
     CHECK(store.term_at(5) == 1);
     CHECK_FALSE(store.term_at(4).has_value());
     CHECK(store.entries(5, 100).empty());
-    // A snapshot that the log does not contain replaces it.
+    // A snapshot whose last entry is not in the log replaces the log.
     store.save_snapshot({7, 9, "members", "other"});
     CHECK(store.first_index() == 8);
     CHECK(store.last_index() == 7);
@@ -68,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("both stores follow the same rules for logs and snapshots") {
+TEST_CASE("memory and file stores handle logs and snapshots alike") {
     SUBCASE("in memory") {
         check_log_rules(*make_memory_log_store(7));
     }
@@ -78,7 +78,7 @@
     }
 }
 
-TEST_CASE("a file store remembers everything it acknowledged") {
+TEST_CASE("a reopened file store has everything it acknowledged") {
     const temporary_folder folder;
     std::uint64_t identity = 0;
     {
@@ -99,15 +99,15 @@
     CHECK(store->term_at(4) == 3);
     CHECK(store->term_at(5) == 4);
 
-    SUBCASE("a new folder gets another identity, so a lost disk is a new member") {
+    SUBCASE("a store in a new folder has another identity, so a voter that lost its disk is a new member") {
         CHECK(open_file_log_store(folder.path / "other")->identity() != identity);
     }
-    SUBCASE("a second process on the same folder is refused, since both would vote") {
+    SUBCASE("a folder that is already open is refused, since two processes would vote as one member") {
         CHECK_THROWS_AS(open_file_log_store(folder.path / "deep" / "data"), io_error);
     }
 }
 
-TEST_CASE("damage to a log file is told apart from a torn write") {
+TEST_CASE("damage to a log file is distinguished from an incomplete last write") {
     const temporary_folder folder;
     const auto file = folder.path / "log";
     {
@@ -124,7 +124,7 @@
         stream.seekp(static_cast<std::streamoff>(at));
         stream.put(static_cast<char>(~byte));
     };
-    SUBCASE("every cut inside the last record drops only that record") {
+    SUBCASE("a file that ends inside the last record loses only that record") {
         for (std::uint64_t cut = 1; cut < 20; ++cut) {
             std::filesystem::resize_file(file, size - cut);
             auto store = open_file_log_store(folder.path);
@@ -132,7 +132,7 @@
             store->append(commands(3, 3, 1));
         }
     }
-    SUBCASE("a changed byte before the last record prevents the start, wherever it is") {
+    SUBCASE("a changed byte anywhere before the last record is corruption") {
         const std::uint64_t record = 28 + 1 + 25 + 9; // header, kind, fields of an entry, "command N"
         for (std::uint64_t at = 0; at < size - record; ++at) {
             flip(at);
@@ -141,13 +141,13 @@
         }
         CHECK(open_file_log_store(folder.path)->last_index() == 3);
     }
-    SUBCASE("an empty file is damage, since creation renames a complete file into place") {
+    SUBCASE("an empty file is corruption, since creation renames a complete file into place") {
         std::filesystem::resize_file(file, 0);
         CHECK_THROWS_AS(open_file_log_store(folder.path), corrupt_log);
     }
 }
 
-TEST_CASE("user data that looks like a record does not turn a torn tail into corruption") {
+TEST_CASE("record bytes inside user data do not make an incomplete last write look like corruption") {
     const temporary_folder folder;
     const auto file = folder.path / "log";
     auto store = open_file_log_store(folder.path);
