--- a/src/ledger/writer.cpp
+++ b/src/ledger/writer.cpp
@@ -46,7 +46,7 @@
                                                     const write_result& reply, time_point now) {
     state::effects out;
     state_->now = now;
-    state_->on_write(operation, from, reply, out);
+    state_->on_write_reply(operation, from, reply, out);
     return out.run();
 }
 
@@ -54,7 +54,7 @@
                                                     const fence_result& reply, time_point now) {
     state::effects out;
     state_->now = now;
-    state_->on_seal(operation, from, reply, out);
+    state_->on_fence_reply(operation, from, reply, out);
     return out.run();
 }
 
@@ -62,7 +62,7 @@
                                                        time_point now) {
     state::effects out;
     state_->now = now;
-    state_->fail(operation, from, out);
+    state_->on_replica_failed(operation, from, out);
     return out.run();
 }
 
--- a/src/ledger/writer_replies.cpp
+++ b/src/ledger/writer_replies.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-bool operation::count(const std::string& from, bool accepts) {
+bool operation::count_reply(const std::string& from, bool accepts) {
     const bool member = std::find(replicas.begin(), replicas.end(), from) != replicas.end();
     if (!member || !replied.insert(from).second) {
         return false;
@@ -28,7 +28,7 @@
     return true;
 }
 
-operation& writer::state::start(operation wanted, effects& out) {
+operation& writer::state::start_operation(operation wanted, effects& out) {
     wanted.id = ++last_operation_;
     wanted.started = now;
     operation& stored = operations.emplace(wanted.id, std::move(wanted)).first->second;
@@ -54,21 +54,21 @@
     }
 }
 
-void writer::state::start_seal(gate_shard& shard, const shard_id& id, effects& out) {
+void writer::state::start_fence(gate_shard& shard, const shard_id& id, effects& out) {
     operation wanted;
     wanted.kind = operation::type::fence;
     wanted.shard = id;
     wanted.epoch = shard.epoch;
     wanted.replicas = shard.replicas;
-    shard.seal_operation = last_operation_ + 1;
-    start(std::move(wanted), out);
+    shard.fence_operation = last_operation_ + 1;
+    start_operation(std::move(wanted), out);
 }
 
-void writer::state::on_write(std::uint64_t id, const std::string& from, const write_result& reply,
-                             effects& out) {
+void writer::state::on_write_reply(std::uint64_t id, const std::string& from, const write_result& reply,
+                                   effects& out) {
     const auto it = operations.find(id);
     if (it == operations.end() || it->second.kind == operation::type::fence ||
-        !it->second.count(from, reply.accepted)) {
+        !it->second.count_reply(from, reply.accepted)) {
         return;
     }
     operation& current = it->second;
@@ -78,20 +78,20 @@
             return;
         }
         if (reply.existing && reply.existing->state == record_state::answered) {
-            learn_existing(current, *reply.existing, out);
+            end_with_existing(current, *reply.existing, out);
             return;
         }
-        current.foreign_begun =
-            current.foreign_begun || (reply.existing && reply.existing->state == record_state::begun);
+        current.begun_elsewhere =
+            current.begun_elsewhere || (reply.existing && reply.existing->state == record_state::begun);
     }
     evaluate(current, out);
 }
 
-void writer::state::on_seal(std::uint64_t id, const std::string& from, const fence_result& reply,
-                            effects& out) {
+void writer::state::on_fence_reply(std::uint64_t id, const std::string& from, const fence_result& reply,
+                                   effects& out) {
     const auto it = operations.find(id);
     if (it == operations.end() || it->second.kind != operation::type::fence ||
-        !it->second.count(from, reply.accepted)) {
+        !it->second.count_reply(from, reply.accepted)) {
         return;
     }
     operation& current = it->second;
@@ -108,9 +108,9 @@
     evaluate(current, out);
 }
 
-void writer::state::fail(std::uint64_t id, const std::string& from, effects& out) {
+void writer::state::on_replica_failed(std::uint64_t id, const std::string& from, effects& out) {
     const auto it = operations.find(id);
-    if (it != operations.end() && it->second.count(from, false)) {
+    if (it != operations.end() && it->second.count_reply(from, false)) {
         evaluate(it->second, out);
     }
 }
@@ -133,14 +133,14 @@
     operation again = current;
     --again.resends_left;
     operations.erase(operations.find(current.id));
-    start(std::move(again), out);
+    start_operation(std::move(again), out);
     return true;
 }
 
 void writer::state::evaluate(operation& current, effects& out) {
     switch (current.kind) {
     case operation::type::fence:
-        evaluate_seal(current, out);
+        evaluate_fence(current, out);
         break;
     case operation::type::begin:
         evaluate_begin(current, out);
@@ -170,7 +170,7 @@
     }
     const operation failed = std::move(current);
     operations.erase(failed.id);
-    if (failed.foreign_begun) {
+    if (failed.begun_elsewhere) {
         settle_begin(failed, verdict::in_doubt, failed.wanted, out);
     } else {
         record given_up = failed.wanted;
@@ -180,7 +180,7 @@
     }
 }
 
-void writer::state::learn_existing(operation& current, const record& existing, effects& out) {
+void writer::state::end_with_existing(operation& current, const record& existing, effects& out) {
     const operation ended = std::move(current);
     operations.erase(ended.id);
     const bool same = existing.digest == ended.wanted.digest;
@@ -196,7 +196,7 @@
     for (const auto& waiter : std::exchange(entry.waiting, {})) {
         out.decide(waiter, result, result == verdict::conflict ? std::nullopt : std::optional(known));
     }
-    keep(shard, current.shard, current.wanted.key);
+    schedule_expiry(shard, current.shard, current.wanted.key);
 }
 
 void writer::state::clean_up(const operation& failed, effects& out) {
@@ -207,7 +207,7 @@
     wanted.wanted = failed.wanted;
     wanted.wanted.state = record_state::not_run;
     wanted.replicas = failed.replicas;
-    start(std::move(wanted), out);
+    start_operation(std::move(wanted), out);
 }
 
 void writer::state::end_as_stale(operation& current, effects& out) {
@@ -215,7 +215,7 @@
     operations.erase(ended.id);
     gate_shard& shard = shards.at(ended.shard);
     if (ended.kind == operation::type::fence) {
-        end_seal(shard, verdict::stale, out);
+        reset_fence(shard, verdict::stale, out);
         return;
     }
     record given_up = ended.wanted;
@@ -242,11 +242,11 @@
     out.calls.emplace_back([done = ended.done, recorded] { done(recorded); });
 }
 
-void writer::state::evaluate_seal(operation& current, effects& out) {
+void writer::state::evaluate_fence(operation& current, effects& out) {
     gate_shard& shard = shards.at(current.shard);
     if (!current.decided && current.cannot_succeed()) {
         operations.erase(operations.find(current.id));
-        end_seal(shard, verdict::in_doubt, out);
+        reset_fence(shard, verdict::in_doubt, out);
         return;
     }
     if (!current.has_majority()) {
@@ -254,40 +254,40 @@
     }
     const bool first = !current.decided;
     current.decided = true;
-    take_window(shard, current);
+    merge_window(shard, current);
     const shard_id id = current.shard;
     if (current.all_replied()) {
         operations.erase(operations.find(current.id));
     }
     if (first) {
-        shard.sealed = true;
-        shard.seal_operation = 0;
-        for (const auto& it : std::exchange(shard.waiting_for_seal, {})) {
-            proceed(shard, id, it, out);
+        shard.fenced = true;
+        shard.fence_operation = 0;
+        for (const auto& it : std::exchange(shard.waiting_for_fence, {})) {
+            process_request(shard, id, it, out);
         }
     }
 }
 
-void writer::state::take_window(gate_shard& shard, const operation& fence) {
+void writer::state::merge_window(gate_shard& shard, const operation& fence) {
     for (const auto& [key, seen] : fence.window) {
         const auto it = shard.keys.find(key);
         const bool unknown = it == shard.keys.end();
         // After the majority, a late window can only add answers: its `begun` records were never dispatched,
         // and a gate may have gone on from its `not_run` records.
-        const bool late = shard.sealed && seen.state != record_state::answered;
+        const bool late = shard.fenced && seen.state != record_state::answered;
         if (late || (!unknown && (in_progress(it->second) || !supersedes(seen, it->second.known)))) {
             continue;
         }
         shard.keys[key].known = seen;
         shard.keys[key].stage = phase::settled;
-        keep(shard, fence.shard, key);
+        schedule_expiry(shard, fence.shard, key);
     }
 }
 
-void writer::state::end_seal(gate_shard& shard, verdict result, effects& out) {
-    shard.seal_operation = 0;
-    shard.sealed = false;
-    for (const auto& it : std::exchange(shard.waiting_for_seal, {})) {
+void writer::state::reset_fence(gate_shard& shard, verdict result, effects& out) {
+    shard.fence_operation = 0;
+    shard.fenced = false;
+    for (const auto& it : std::exchange(shard.waiting_for_fence, {})) {
         out.decide(it.done, result);
     }
 }
--- a/src/ledger/writer_requests.cpp
+++ b/src/ledger/writer_requests.cpp
@@ -30,13 +30,13 @@
     if (request.wanted.epoch > shard.epoch || replicas != shard.replicas) {
         change_configuration(shard, id, request.wanted.epoch, replicas, out);
     }
-    if (shard.sealed) {
-        proceed(shard, id, request, out);
+    if (shard.fenced) {
+        process_request(shard, id, request, out);
         return;
     }
-    shard.waiting_for_seal.push_back(request);
-    if (shard.seal_operation == 0) {
-        start_seal(shard, id, out);
+    shard.waiting_for_fence.push_back(request);
+    if (shard.fence_operation == 0) {
+        start_fence(shard, id, out);
     }
 }
 
@@ -52,19 +52,19 @@
             settle_begin(current, verdict::stale, current.wanted, out);
         }
     }
-    end_seal(shard, verdict::stale, out);
+    reset_fence(shard, verdict::stale, out);
     std::erase_if(shard.keys, [](const auto& it) {
         return it.second.stage == phase::settled || it.second.stage == phase::writing;
     });
     shard.epoch = epoch;
     shard.replicas = replicas;
-    shard.sealed = false;
+    shard.fenced = false;
 }
 
-void writer::state::proceed(gate_shard& shard, const shard_id& id, const waiting_begin& request,
-                            effects& out) {
-    if (request.only_check) {
-        report(shard, request, out);
+void writer::state::process_request(gate_shard& shard, const shard_id& id, const waiting_begin& request,
+                                    effects& out) {
+    if (request.check_only) {
+        report_known(shard, request, out);
         return;
     }
     const auto it = shard.keys.find(request.wanted.key);
@@ -87,7 +87,7 @@
     }
 }
 
-void writer::state::report(const gate_shard& shard, const waiting_begin& request, effects& out) {
+void writer::state::report_known(const gate_shard& shard, const waiting_begin& request, effects& out) {
     const auto it = shard.keys.find(request.wanted.key);
     if (it == shard.keys.end()) {
         out.decide(request.done, verdict::unavailable);
@@ -123,7 +123,7 @@
     wanted.epoch = shard.epoch;
     wanted.wanted = entry.known;
     wanted.replicas = shard.replicas;
-    start(std::move(wanted), out);
+    start_operation(std::move(wanted), out);
 }
 
 void writer::state::finish(const record& result, const on_done& done, effects& out) {
@@ -145,11 +145,11 @@
         entry.known.epoch = shard->second.epoch;
     }
     entry.stage = phase::settled;
-    const auto told = result.state == record_state::answered ? verdict::answer : verdict::unavailable;
+    const auto outcome = result.state == record_state::answered ? verdict::answer : verdict::unavailable;
     for (const auto& waiter : std::exchange(entry.waiting, {})) {
-        out.decide(waiter, told, entry.known);
+        out.decide(waiter, outcome, entry.known);
     }
-    keep(shard->second, id, result.key);
+    schedule_expiry(shard->second, id, result.key);
     operation wanted;
     wanted.kind = operation::type::finish;
     wanted.shard = id;
@@ -158,7 +158,7 @@
     wanted.replicas = shard->second.replicas;
     wanted.resends_left = 2;
     wanted.done = done;
-    start(std::move(wanted), out);
+    start_operation(std::move(wanted), out);
 }
 
 void writer::state::abandon(const shard_id& id, const std::string& key, effects& out) {
@@ -174,11 +174,11 @@
     for (const auto& waiter : std::exchange(it->second.waiting, {})) {
         out.decide(waiter, verdict::in_doubt, it->second.known);
     }
-    keep(shard->second, id, key);
+    schedule_expiry(shard->second, id, key);
 }
 
-void writer::state::set_retention(duration keep) {
-    const duration next = keep + keep / 4;
+void writer::state::set_retention(duration replica_retention) {
+    const duration next = replica_retention + replica_retention / 4;
     const duration added = next - retention;
     retention = next;
     if (added <= duration::zero()) {
@@ -194,7 +194,7 @@
     }
 }
 
-void writer::state::keep(gate_shard& shard, const shard_id& id, const std::string& key) {
+void writer::state::schedule_expiry(gate_shard& shard, const shard_id& id, const std::string& key) {
     shard.keys.at(key).expires = now + retention;
     expiries_.push_back({now + retention, id, key});
 }
--- a/src/ledger/writer_state.h
+++ b/src/ledger/writer_state.h
@@ -27,15 +27,15 @@
 struct waiting_begin {
     record wanted;
     writer::on_decision done;
-    bool only_check = false; ///< report what is known and record nothing
+    bool check_only = false; ///< report what is known and record nothing
 };
 
 struct gate_shard {
     std::uint64_t epoch = 0;
-    bool sealed = false;
-    std::uint64_t seal_operation = 0;
+    bool fenced = false;
+    std::uint64_t fence_operation = 0;
     std::vector<std::string> replicas;
-    std::vector<waiting_begin> waiting_for_seal;
+    std::vector<waiting_begin> waiting_for_fence;
     std::unordered_map<std::string, key_entry> keys;
 };
 
@@ -49,8 +49,8 @@
     std::vector<std::string> replicas;
     std::set<std::string> replied; ///< each replica counts once, however often it answers
     std::set<std::string> accepted;
-    bool decided = false;       ///< a seal stays open for the last replica's window
-    bool foreign_begun = false; ///< a replica holds `begun` of another gate
+    bool decided = false;         ///< a seal stays open for the last replica's window
+    bool begun_elsewhere = false; ///< a replica holds `begun` of another gate
     int resends_left = 0;
     time_point started;
     std::unordered_map<std::string, record> window;
@@ -61,12 +61,13 @@
     bool all_replied() const { return replied.size() == replicas.size(); }
     bool cannot_succeed() const { return accepted.size() + (replicas.size() - replied.size()) < majority(); }
     /// @returns true for the first reply of a replica of this operation
-    bool count(const std::string& from, bool accepts);
+    bool count_reply(const std::string& from, bool accepts);
 };
 
 struct writer::state {
-    state(duration timeout, duration keep) : operation_timeout(timeout), retention(keep + keep / 4) {}
-    void set_retention(duration keep);
+    state(duration timeout, duration replica_retention)
+        : operation_timeout(timeout), retention(replica_retention + replica_retention / 4) {}
+    void set_retention(duration replica_retention);
 
     /// Messages to send and callbacks to run. Callbacks run last, since they may call the writer again.
     struct effects {
@@ -80,9 +81,9 @@
     void begin(const waiting_begin& request, const std::vector<std::string>& replicas, effects& out);
     void finish(const record& result, const on_done& done, effects& out);
     void abandon(const shard_id& id, const std::string& key, effects& out);
-    void on_write(std::uint64_t id, const std::string& from, const write_result& reply, effects& out);
-    void on_seal(std::uint64_t id, const std::string& from, const fence_result& reply, effects& out);
-    void fail(std::uint64_t id, const std::string& from, effects& out);
+    void on_write_reply(std::uint64_t id, const std::string& from, const write_result& reply, effects& out);
+    void on_fence_reply(std::uint64_t id, const std::string& from, const fence_result& reply, effects& out);
+    void on_replica_failed(std::uint64_t id, const std::string& from, effects& out);
     void expire_operations(effects& out);
     void drop_expired_keys();
 
@@ -95,23 +96,23 @@
 private:
     void change_configuration(gate_shard& shard, const shard_id& id, std::uint64_t epoch,
                               const std::vector<std::string>& replicas, effects& out);
-    void start_seal(gate_shard& shard, const shard_id& id, effects& out);
-    void proceed(gate_shard& shard, const shard_id& id, const waiting_begin& request, effects& out);
-    static void report(const gate_shard& shard, const waiting_begin& request, effects& out);
+    void start_fence(gate_shard& shard, const shard_id& id, effects& out);
+    void process_request(gate_shard& shard, const shard_id& id, const waiting_begin& request, effects& out);
+    static void report_known(const gate_shard& shard, const waiting_begin& request, effects& out);
     void start_begin(gate_shard& shard, const shard_id& id, const waiting_begin& request, effects& out);
-    operation& start(operation wanted, effects& out);
+    operation& start_operation(operation wanted, effects& out);
     void send(const operation& wanted, effects& out) const;
     void evaluate(operation& current, effects& out);
     void evaluate_begin(operation& current, effects& out);
     void evaluate_finish(operation& current, effects& out);
-    void evaluate_seal(operation& current, effects& out);
-    void learn_existing(operation& current, const record& existing, effects& out);
+    void evaluate_fence(operation& current, effects& out);
+    void end_with_existing(operation& current, const record& existing, effects& out);
     void settle_begin(const operation& current, verdict result, const record& known, effects& out);
     void clean_up(const operation& failed, effects& out);
     void end_as_stale(operation& current, effects& out);
-    void take_window(gate_shard& shard, const operation& fence);
-    void end_seal(gate_shard& shard, verdict result, effects& out);
-    void keep(gate_shard& shard, const shard_id& id, const std::string& key);
+    void merge_window(gate_shard& shard, const operation& fence);
+    void reset_fence(gate_shard& shard, verdict result, effects& out);
+    void schedule_expiry(gate_shard& shard, const shard_id& id, const std::string& key);
     bool resend(operation& current, effects& out);
 
     struct key_expiry {
