--- a/include/kingcupseam/ledger.h
+++ b/include/kingcupseam/ledger.h
@@ -12,18 +12,21 @@
 
 namespace kingcupseam::ledger {
 
+/// State of an attempt. `begun`: may run or have run; `answered`: has run, with the recorded answer;
+/// `not_run`: has not run and will not.
 enum class record_state : std::uint8_t { absent, begun, answered, not_run };
 
+/// State of one idempotency key in the ledger of its shard.
 struct record {
     std::string service;
     std::uint32_t shard = 0;
     std::string key;           ///< idempotency key of the request
     std::uint64_t epoch = 0;   ///< epoch of the gate that began the attempt
-    std::uint64_t attempt = 0; ///< set by the writer; orders the attempts of one key within an epoch
+    std::uint64_t attempt = 0; ///< set by the writer; orders attempts of a key within an epoch
     record_state state = record_state::begun;
     int status = 0;     ///< HTTP status of a recorded answer
-    std::string answer; ///< body and content type of a recorded answer, bounded by max_answer_bytes
-    std::string digest; ///< method, target and body hash: the same key with another request is refused
+    std::string answer; ///< body and content type of a recorded answer, at most max_answer_bytes
+    std::string digest; ///< of method, target and body, to refuse another request with the same key
     auto operator<=>(const record&) const = default;
 };
 
@@ -37,7 +40,7 @@
 struct write_result {
     bool accepted = false;
     std::uint64_t fenced_epoch = 0;
-    std::optional<record> existing; ///< what the replica already held for the key
+    std::optional<record> existing; ///< the replica's record of the key before the write
 };
 
 struct fence_result {
@@ -46,7 +49,7 @@
     std::vector<record> window;
 };
 
-/// What one replica holds of a shard.
+/// Records of one shard at one replica.
 struct shard_window {
     std::string service;
     std::uint32_t shard = 0;
@@ -55,38 +58,36 @@
     bool operator==(const shard_window&) const = default;
 };
 
-/// How a replica starts.
 enum class replica_start : std::uint8_t {
-    new_group,       ///< the ledger group is new: an empty window is complete
-    awaiting_install ///< replaces a lost replica: refuses writes and seals until the first install()
+    new_group,       ///< the ledger group is new, so an empty window is complete
+    awaiting_install ///< replaces a lost replica: refuses writes and fences until install()
 };
 
-/// One replica of the ledgers of some shards. Refuses writes of an epoch below the highest it saw for the
-/// shard.
+/// One replica of the ledgers of some shards. Refuses writes and fences of an epoch below the highest one
+/// that it has seen for the shard.
 class replica {
 public:
     explicit replica(replica_options settings, replica_start start = replica_start::new_group);
 
-    /// A longer retention also covers the records that are held; a shorter one only new records.
+    /// A longer retention also applies to existing records; a shorter one only to new records.
     void set_retention(duration retention);
-    /// Merges @p wanted. `begun` is accepted for an absent key, after a `not_run` record of an earlier
-    /// attempt, and over a `begun` record of an earlier attempt of the same epoch. `answered` replaces
-    /// `begun` and `not_run`. `not_run` replaces `begun` of the same epoch, unless that is a later attempt.
-    /// When the window is full of records within their retention, the write is refused rather than an old
-    /// record forgotten; an answer longer than the bound is refused and its record stays `begun`.
+    /// Merges @p wanted within the limits of replica_options; no record is dropped before its retention ends.
+    /// Any state is accepted for an absent key. `begun` replaces an earlier attempt that is `not_run`, or
+    /// `begun` in the same epoch; `answered` replaces both; `not_run` replaces `begun` of the same epoch, but
+    /// not of a later attempt. An answer that is too long is refused, so its record stays `begun`.
     write_result write(const record& wanted, time_point now);
-    /// Raises the shard's epoch and returns its window.
+    /// Raises the epoch of the shard, so that writes of lower epochs are refused, and returns its window.
     fence_result fence(const std::string& service, std::uint32_t shard, std::uint64_t epoch, time_point now);
-    /// Takes over windows copied from other replicas and serves from then on. A record at a majority of three
-    /// may be left at only one of the other two, so @p windows must hold the windows of both. They must have
-    /// been read with seal() at a new epoch of the shard; otherwise a write that the lost replica accepted
-    /// could still be completed without this replica knowing it.
+    /// Merges windows copied from the other replicas; the replica is ready afterwards. A record at a majority
+    /// of three may remain at only one of the other two, so @p windows must contain the windows of both. They
+    /// must come from fence() at a new epoch of the shard: otherwise a write that the lost replica had
+    /// accepted could still reach a majority without being in this replica.
     void install(const std::vector<shard_window>& windows, time_point now);
     bool ready() const noexcept;
-    /// Service and shard of every window held; the windows to seal and copy when a replica is replaced.
+    /// Service and shard of every window; these are fenced and copied when another replica is replaced.
     std::vector<std::pair<std::string, std::uint32_t>> shards() const;
     std::size_t size() const noexcept;
-    /// Memory used by the records, estimated from their contents.
+    /// Estimated memory of the records.
     std::size_t bytes() const noexcept;
 
 private:
@@ -94,20 +95,20 @@
     std::shared_ptr<state> state_;
 };
 
-/// What the gate does with an at-most-once request.
+/// What the gate must do with an at-most-once request.
 enum class verdict : std::uint8_t {
-    dispatch, ///< recorded at a majority: run it now
-    wait,     ///< never given to on_decision: a duplicate's decision is deferred until the request in
-              ///< progress at this gate ends, and is then `answer`, `in_doubt` or `unavailable`
-    answer,   ///< answered before: return the recorded answer
-    in_doubt, ///< an earlier attempt may have run: `unknown`. Also, with no record in decision::known, when
-              ///< no majority let this gate read the window, since the key may have run before
-    conflict, ///< the key was used for another request: `not-run`
-    unavailable, ///< the window shows no run, and no majority recorded the attempt or the upstream did not
-                 ///< start it: `not-run` while the gate's lease of the epoch in decision::known is valid,
+    dispatch,    ///< `begun` is recorded at a majority: run the request now
+    wait,        ///< never passed to on_decision: the decision on a duplicate is deferred until the in-flight
+                 ///< request at this gate ends, and is then `answer`, `in_doubt` or `unavailable`
+    answer,      ///< return the recorded answer
+    in_doubt,    ///< an earlier attempt may have run: `unknown`. Without a record in decision::known: the key
+                 ///< may have run, since no majority let this gate read the window
+    conflict,    ///< the key was used for another request: `not-run`
+    unavailable, ///< the window shows no run, and either no majority recorded the attempt or the upstream did
+                 ///< not start it. `not-run` while the gate's lease of the epoch in decision::known is valid,
                  ///< else `unknown`, since another gate may have run the key
-    stale,       ///< a replica knows a higher epoch: this gate did not and will not run it, but its successor
-                 ///< may have. Refresh the table and forward the request; `unknown` when that fails
+    stale,       ///< a replica knows a higher epoch: this gate did not run the request and will not, but its
+                 ///< successor may have. Refresh the table and forward the request; `unknown` if that fails
 };
 
 struct decision {
@@ -115,7 +116,7 @@
     std::optional<record> known;
 };
 
-/// A write or seal to be sent to one replica; the caller transports it and reports the result.
+/// A write or fence for one replica. The caller sends it and reports the reply to the writer.
 struct replica_request {
     std::uint64_t operation = 0;
     std::string replica; ///< instance name
@@ -124,43 +125,44 @@
     std::uint64_t epoch = 0;
 };
 
-/// Majority logic of a gate over the replicas of its shards. Single-threaded; has no clock and no socket.
+/// Records the requests of a gate at a majority of the replicas of its shards. Single-threaded; has no clock
+/// and no socket.
 ///
-/// `unavailable` and `stale` are reported as `not-run` although a `begun` record may remain at a minority:
-/// only the writer that made a record may dispatch it, and it has given the attempt up for good. A remaining
-/// record can only turn later attempts into `in_doubt`. The writer sends a `not_run` record after it, so that
-/// a resend can usually begin again.
+/// `unavailable` and `stale` mean that this gate did not run the request, although a `begun` record may
+/// remain at a minority: only the writer that made a record may dispatch it, and it has given up that
+/// attempt. The remaining record can only make later attempts `in_doubt`. The writer follows it with a
+/// `not_run` record, so that a resend can usually begin again.
 class writer {
 public:
     using on_decision = std::function<void(const decision&)>;
     using on_done = std::function<void(bool majority)>;
 
-    /// @param retention how long the replicas keep a record; the writer remembers it a quarter longer
+    /// @param retention how long the replicas keep a record; the writer keeps it a quarter longer
     explicit writer(duration operation_timeout, duration retention = std::chrono::minutes(10));
 
-    /// A longer retention also covers the keys that are remembered; a shorter one only new keys.
+    /// A longer retention also applies to existing keys; a shorter one only to new keys.
     void set_retention(duration retention);
-    /// Prepares to run a request. Seals and reads the shard first when this gate has not done so at the epoch
-    /// of @p wanted with these replicas. An epoch belongs to one lifetime of one gate.
+    /// Records that a request is about to run. Fences the shard and reads its window first, unless done
+    /// before at the epoch of @p wanted with these replicas. An epoch belongs to one incarnation of one gate.
     /// @param replicas names of the shard's ledger replicas; a replaced replica needs a new epoch
-    /// @returns messages to send; @p done is called once, possibly before this returns
+    /// @returns requests to send; @p done is called once, possibly before this returns
     std::vector<replica_request> begin(const record& wanted, const std::vector<std::string>& replicas,
                                        const on_decision& done, time_point now);
-    /// Reports what the window says of a key without recording anything, for a request that is refused before
-    /// begin(). Seals and reads the shard first as begin() does; a sealed shard is only looked up in memory.
+    /// Looks a key up without recording anything, for a request that is refused before begin(). Fences the
+    /// shard first as begin() does; the lookup in a fenced shard sends no requests.
     /// @param done called once, possibly before this returns, with `answer`, `in_doubt` (an attempt may run
-    /// or have run, or the window cannot be read), `conflict`, `stale`, or `unavailable`: the window shows no
-    /// run
+    /// or have run, or the window cannot be read), `conflict`, `stale` or `unavailable` (the window shows no
+    /// run)
     std::vector<replica_request> check(const record& wanted, const std::vector<std::string>& replicas,
                                        const on_decision& done, time_point now);
-    /// Records the result of a dispatched request: `answered`, or `not_run` when the upstream confirmed that
-    /// it did not start. Duplicates that wait get it at once; resends get it from the window. A result for a
+    /// Records the result of a dispatched request: `answered`, or `not_run` if the upstream confirmed that it
+    /// did not start. Waiting duplicates get it at once, later resends get it from the window. A result for a
     /// key that this writer did not dispatch is ignored.
     /// @param done called once; false means that later gates may answer `unknown`
     std::vector<replica_request> finish(const record& result, const std::vector<std::string>& replicas,
                                         const on_done& done, time_point now);
-    /// The outcome of a dispatched request is not known: later resends get in_doubt, waiting duplicates get
-    /// it now. A later finish() may still record the answer.
+    /// Marks the outcome of a dispatched request as unknown: waiting duplicates and later resends get
+    /// `in_doubt`. A later finish() may still record the answer.
     void abandon(const std::string& service, std::uint32_t shard, const std::string& key);
 
     std::vector<replica_request> on_write_reply(std::uint64_t operation, const std::string& from,
@@ -169,9 +171,9 @@
                                                 const fence_result& reply, time_point now);
     std::vector<replica_request> on_replica_failed(std::uint64_t operation, const std::string& from,
                                                    time_point now);
-    /// Fails operations that are older than the timeout.
+    /// Ends operations older than the timeout as failed. Results are resent up to twice before.
     std::vector<replica_request> tick(time_point now);
-    /// Operations that still wait for replies.
+    /// Number of operations that wait for replies.
     std::size_t pending() const noexcept;
 
 private:
@@ -179,8 +181,8 @@
     std::shared_ptr<state> state_;
 };
 
-/// Age up to which the windows certainly still hold a key. After a profile makes the retention longer it
-/// grows with the time, since records that were dropped under the shorter retention do not come back.
+/// Age up to which a key is guaranteed to be in the windows. After the retention is made longer, this age
+/// grows with time up to the new retention, since records dropped under the shorter one are gone.
 class guaranteed_retention {
 public:
     /// @param slack time within which all replicas apply a new profile
@@ -195,7 +197,7 @@
     time_point changed_;
 };
 
-/// Creation time in an idempotency key in UUIDv7 form; empty for any other form.
+/// Creation time in an idempotency key of UUIDv7 form; empty for other keys.
 std::optional<std::chrono::system_clock::time_point> creation_time(const std::string& idempotency_key);
 
 } // namespace kingcupseam::ledger
--- a/src/ledger/creation_time.cpp
+++ b/src/ledger/creation_time.cpp
@@ -25,7 +25,7 @@
     if (retention == retention_) {
         return;
     }
-    // The first profile meets empty windows, so nothing was dropped under another retention.
+    // The first retention applies to empty windows, so no record was dropped under another one.
     before_ = retention_ == duration::zero() ? retention : std::min(at(now), retention);
     retention_ = retention;
     changed_ = now;
@@ -43,7 +43,7 @@
     }
     const std::string digits = idempotency_key.substr(0, 8) + idempotency_key.substr(9, 4);
     const std::chrono::milliseconds since_epoch(std::stoll(digits, nullptr, 16));
-    // 48 bits of milliseconds reach beyond the nanoseconds of the system clock.
+    // 48 bits of milliseconds exceed the range of the system clock, which counts nanoseconds.
     constexpr auto latest =
         std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::duration::max());
     return std::chrono::system_clock::time_point(std::min(since_epoch, latest));
--- a/src/ledger/order.h
+++ b/src/ledger/order.h
@@ -6,7 +6,7 @@
 
 namespace kingcupseam::ledger {
 
-/// Attempts of one key are ordered by the epoch of their gate, then by the gate's own counter.
+/// Attempts of a key are ordered by the epoch of their gate, then by the attempt number of that gate.
 inline bool same_attempt(const record& a, const record& b) {
     return a.epoch == b.epoch && a.attempt == b.attempt;
 }
@@ -14,8 +14,8 @@
     return std::tie(a.epoch, a.attempt) < std::tie(b.epoch, b.attempt);
 }
 
-/// True when @p candidate tells more about its key than @p known does. An answer is final. Otherwise the
-/// later attempt counts: it was begun only after its gate had ruled out that the earlier one ran. For one
+/// True if @p candidate is newer information about its key than @p known. An answer is final. Otherwise the
+/// later attempt wins, since its gate began it only after ruling out that the earlier one had run. Within one
 /// attempt `not_run` follows `begun`.
 inline bool supersedes(const record& candidate, const record& known) {
     if (known.state == record_state::answered || candidate.state == record_state::answered) {
--- a/src/ledger/replica.cpp
+++ b/src/ledger/replica.cpp
@@ -6,7 +6,7 @@
 namespace kingcupseam::ledger {
 namespace {
 
-/// Without service and shard, which all records of a shard share.
+/// A record without service and shard, which all records of a window share.
 struct compact_record {
     std::uint64_t epoch = 0;
     std::uint64_t attempt = 0;
@@ -24,7 +24,8 @@
     window_map records;
 };
 
-/// Points into a shard's map, whose nodes do not move. Erased only by the entry with the record's expiry.
+/// Refers to a record in a shard's map, whose nodes do not move. A record is erased only through the entry
+/// with its current expiry time, so `key` stays valid.
 struct expiry {
     time_point at;
     window_map* owner = nullptr;
@@ -32,7 +33,8 @@
 };
 
 std::size_t heap_bytes(const std::string& text) {
-    return text.capacity() > 15 ? text.capacity() + 17 : 0; // 15 characters fit into the string object
+    return text.capacity() > 15 ? text.capacity() + 17
+                                : 0; // up to 15 characters are stored inside the string object
 }
 
 std::size_t bytes_of(const std::string& key, const compact_record& it) {
@@ -56,7 +58,7 @@
             const expiry oldest = expiries.front();
             expiries.pop_front();
             const auto it = oldest.owner->find(*oldest.key);
-            // A record that changed since has a later entry.
+            // A record that was written again has a later entry.
             if (it->second.expires == oldest.at) {
                 bytes -= bytes_of(it->first, it->second);
                 --records;
@@ -96,14 +98,14 @@
     static bool may_replace(const record& wanted, const record& known) {
         switch (wanted.state) {
         case record_state::begun:
-            // A `begun` record of an older epoch may have been dispatched by its gate.
+            // The gate of an older epoch may have dispatched its `begun` record.
             return (known.state == record_state::not_run && earlier_attempt(known, wanted)) ||
                    (known.state == record_state::begun && known.epoch == wanted.epoch &&
                     known.attempt < wanted.attempt);
         case record_state::answered:
             return known.state != record_state::answered;
         case record_state::not_run:
-            // A late `not_run` must not hide a later attempt that was dispatched.
+            // A delayed `not_run` must not hide a later attempt that was dispatched.
             return known.state != record_state::answered && known.epoch == wanted.epoch &&
                    known.attempt <= wanted.attempt;
         case record_state::absent:
@@ -153,7 +155,7 @@
     } else {
         result.existing = state::expand(wanted.service, wanted.shard, it->first, it->second);
         if (*result.existing == wanted) {
-            result.accepted = true; // a repeated message
+            result.accepted = true; // a repeated write
             return result;
         }
         result.accepted = state::may_replace(wanted, *result.existing) && s.fits(wanted, &it->second);
--- a/src/ledger/writer_replies.cpp
+++ b/src/ledger/writer_replies.cpp
@@ -1,4 +1,4 @@
-// Majority counting: operations, replies of replicas and timeouts.
+// Operations: sending, counting replies to a majority, and timeouts.
 #include "ledger/order.h"
 #include "ledger/writer_state.h"
 
@@ -233,7 +233,8 @@
     const bool recorded = ended.has_majority();
     auto& keys = shards.at(ended.shard).keys;
     const auto it = keys.find(ended.wanted.key);
-    // An answer that the replicas do not keep is not kept here either: their bounds limit the memory.
+    // An answer that the replicas do not store is dropped here too, so that their limits also bound this
+    // memory.
     if (!recorded && ended.wanted.state == record_state::answered && it != keys.end() &&
         it->second.stage == phase::settled) {
         it->second.known.state = record_state::begun;
@@ -272,8 +273,8 @@
     for (const auto& [key, seen] : fence.window) {
         const auto it = shard.keys.find(key);
         const bool unknown = it == shard.keys.end();
-        // After the majority, a late window can only add answers: its `begun` records were never dispatched,
-        // and a gate may have gone on from its `not_run` records.
+        // A window that arrives after the majority may only add answers: its `begun` records were never
+        // dispatched, and later attempts may have begun after its `not_run` records.
         const bool late = shard.fenced && seen.state != record_state::answered;
         if (late || (!unknown && (in_progress(it->second) || !supersedes(seen, it->second.known)))) {
             continue;
--- a/src/ledger/writer_requests.cpp
+++ b/src/ledger/writer_requests.cpp
@@ -1,4 +1,4 @@
-// What the gate asks for: begin, finish and abandon.
+// Calls of the gate: begin, check, finish and abandon.
 #include "ledger/order.h"
 #include "ledger/writer_state.h"
 
@@ -42,7 +42,7 @@
 
 void writer::state::change_configuration(gate_shard& shard, const shard_id& id, std::uint64_t epoch,
                                          const std::vector<std::string>& replicas, effects& out) {
-    // Results of dispatched requests may still be recorded; everything else starts over.
+    // Results of dispatched requests may still be recorded; all other operations end.
     for (auto it = operations.begin(); it != operations.end();) {
         const operation current = it->second;
         const bool obsolete = current.shard == id && (current.kind == operation::type::begin ||
@@ -108,7 +108,8 @@
 
 void writer::state::start_begin(gate_shard& shard, const shard_id& id, const waiting_begin& request,
                                 effects& out) {
-    // Starting from the clock keeps attempts apart when a restarted process is given its old epoch again.
+    // Attempt numbers start from the clock, so that they stay distinct if a restarted process gets its old
+    // epoch again.
     const auto clock = static_cast<std::uint64_t>(std::max<std::int64_t>(0, now.time_since_epoch().count()));
     last_attempt_ = std::max(last_attempt_ + 1, clock);
     key_entry& entry = shard.keys[request.wanted.key];
--- a/src/ledger/writer_state.h
+++ b/src/ledger/writer_state.h
@@ -10,35 +10,38 @@
 
 using shard_id = std::pair<std::string, std::uint32_t>;
 
-/// A key of a shard as its gate knows it.
+/// What the gate knows about a key of its shard.
 struct key_entry {
     enum class phase : std::uint8_t {
-        settled,    ///< known from a window or finished here
+        settled,    ///< read from a window, or finished at this gate
         writing,    ///< `begun` is being recorded
         dispatched, ///< may be running
-        abandoned,  ///< was dispatched here and its outcome is not known
+        abandoned,  ///< was dispatched, outcome unknown
     };
     record known;
     phase stage = phase::settled;
-    std::vector<writer::on_decision> waiting; ///< the first is the request itself while it is being recorded
+    std::vector<writer::on_decision> waiting; ///< while writing, the first one is the request itself
     time_point expires;
 };
 
+/// A begin() or check() call, which may have to wait until its shard is fenced.
 struct waiting_begin {
     record wanted;
     writer::on_decision done;
-    bool check_only = false; ///< report what is known and record nothing
+    bool check_only = false; ///< of check(): records nothing
 };
 
+/// A shard of which this process is or was the gate.
 struct gate_shard {
     std::uint64_t epoch = 0;
     bool fenced = false;
-    std::uint64_t fence_operation = 0;
+    std::uint64_t fence_operation = 0; ///< 0 if none is in progress
     std::vector<std::string> replicas;
     std::vector<waiting_begin> waiting_for_fence;
     std::unordered_map<std::string, key_entry> keys;
 };
 
+/// Requests to all replicas of a shard whose replies are counted.
 struct operation {
     enum class type : std::uint8_t { fence, begin, finish, cleanup };
     type kind = type::cleanup;
@@ -47,9 +50,9 @@
     std::uint64_t epoch = 0;
     record wanted;
     std::vector<std::string> replicas;
-    std::set<std::string> replied; ///< each replica counts once, however often it answers
+    std::set<std::string> replied; ///< each replica counts once, however often it replies
     std::set<std::string> accepted;
-    bool decided = false;         ///< a seal stays open for the last replica's window
+    bool decided = false;         ///< has a majority; a fence then still waits for the last window
     bool begun_elsewhere = false; ///< a replica holds `begun` of another gate
     int resends_left = 0;
     time_point started;
@@ -60,7 +63,7 @@
     bool has_majority() const { return accepted.size() >= majority(); }
     bool all_replied() const { return replied.size() == replicas.size(); }
     bool cannot_succeed() const { return accepted.size() + (replicas.size() - replied.size()) < majority(); }
-    /// @returns true for the first reply of a replica of this operation
+    /// @returns true if this is the first reply of one of the replicas
     bool count_reply(const std::string& from, bool accepts);
 };
 
@@ -69,7 +72,7 @@
         : operation_timeout(timeout), retention(replica_retention + replica_retention / 4) {}
     void set_retention(duration replica_retention);
 
-    /// Messages to send and callbacks to run. Callbacks run last, since they may call the writer again.
+    /// Requests to send and callbacks to run. Callbacks run last, since they may call the writer again.
     struct effects {
         std::vector<replica_request> messages;
         std::vector<std::function<void()>> calls;
@@ -90,7 +93,7 @@
     duration operation_timeout;
     duration retention;
     time_point now;
-    std::map<std::uint64_t, operation> operations; ///< in the order of their start
+    std::map<std::uint64_t, operation> operations; ///< in the order in which they started
     std::map<shard_id, gate_shard> shards;
 
 private:
