--- a/benchmark/ledger_throughput.cpp
+++ b/benchmark/ledger_throughput.cpp
@@ -1,4 +1,5 @@
-// Cost of the at-most-once record: pairs of begin and finish per second, memory per record, messages.
+// Cost of at-most-once records: pairs of begin and finish per second, memory per record, messages per
+// request.
 #include <kingcupseam/ledger.h>
 
 #include <malloc.h>
@@ -14,7 +15,7 @@
 
 constexpr std::size_t answer_bytes = 200;
 constexpr std::size_t frame_bytes = 14;
-constexpr std::size_t field_bytes = 20; // numbers and field headers of a compact struct, estimated
+constexpr std::size_t field_bytes = 20; // estimate for the numbers and field headers of a compact struct
 
 std::string key_of(std::size_t n) {
     char text[40];
@@ -37,7 +38,7 @@
     return double(now.tv_sec) + double(now.tv_nsec) / 1e9;
 }
 
-/// One writer and three replicas that answer at once.
+/// One writer and three replicas that reply at once.
 class ledger_group {
 public:
     ledger_group() {
@@ -125,6 +126,6 @@
                 rate);
     std::printf("%.1f messages and about %.0f bytes per request with an answer of %zu bytes\n",
                 double(group.messages) / pairs, double(group.bytes) / pairs, answer_bytes);
-    constexpr double least_rate = 20'000; // the regression bound, far below what an idle core does
+    constexpr double least_rate = 20'000; // regression bound, far below the rate of an idle core
     return rate >= least_rate ? 0 : 1;
 }
--- a/tests/ledger/replica_test.cpp
+++ b/tests/ledger/replica_test.cpp
@@ -29,9 +29,9 @@
 
 } // namespace
 
-TEST_CASE("a replica keeps what a later gate must know") {
+TEST_CASE("a replica keeps the records that a later gate depends on") {
     replica tested({});
-    SUBCASE("a write below the sealed epoch is refused, so a replaced gate cannot record anything") {
+    SUBCASE("a write below the fenced epoch is refused, so that a replaced gate cannot record anything") {
         CHECK(tested.fence("s", 1, 7, start).accepted);
         const auto reply = tested.write(begun(6, 1), start);
         CHECK_FALSE(reply.accepted);
@@ -41,9 +41,9 @@
         CHECK(tested.size() == 0);
         CHECK(tested.write({"s", 2, "k", 1, 1, record_state::begun, 0, "", "d"}, start).accepted);
     }
-    SUBCASE("begun never replaces another gate's begun or an answer") {
+    SUBCASE("begun does not replace begun of another gate or an answer") {
         CHECK(tested.write(begun(1, 1), start).accepted);
-        CHECK(tested.write(begun(1, 1), start).accepted); // the same message again
+        CHECK(tested.write(begun(1, 1), start).accepted); // a repeated message
         const auto reply = tested.write(begun(2, 5), start);
         CHECK_FALSE(reply.accepted);
         CHECK(reply.existing == begun(1, 1));
@@ -52,13 +52,13 @@
         CHECK_FALSE(tested.write(not_run(3, 9), start).accepted);
         CHECK(tested.fence("s", 1, 4, start).window == std::vector<record>{answered(2, 1)});
     }
-    SUBCASE("a key that did not run begins again, but a late begun of the old attempt does not revive it") {
+    SUBCASE("a new attempt may begin after not_run, but a delayed begun of the old attempt is refused") {
         tested.write(begun(1, 1), start);
         CHECK(tested.write(not_run(1, 1), start).accepted);
         CHECK_FALSE(tested.write(begun(1, 1), start).accepted);
         CHECK(tested.write(begun(1, 2), start).accepted);
     }
-    SUBCASE("a late not_run of the first attempt does not hide the second, which may be running") {
+    SUBCASE("a delayed not_run of the first attempt does not replace the second, which may be running") {
         tested.write(begun(1, 1), start);
         tested.write(not_run(1, 1), start);
         tested.write(begun(1, 2), start);
@@ -67,7 +67,7 @@
     }
 }
 
-TEST_CASE("a replica is bounded and refuses rather than forgets") {
+TEST_CASE("a full replica refuses writes and drops no record early") {
     replica_options settings;
     settings.max_records = 3;
     settings.max_answer_bytes = 100;
@@ -83,13 +83,13 @@
         CHECK(tested.size() == 2);
         CHECK_FALSE(tested.write(make("a", 1, 2, record_state::begun), start + 10s).accepted);
     }
-    SUBCASE("an answer over the bound is refused and the key stays in doubt") {
+    SUBCASE("an answer over the limit is refused and the record stays begun") {
         tested.write(begun(1, 1), start);
         CHECK_FALSE(
             tested.write(make("k", 1, 1, record_state::answered, std::string(101, 'x')), start).accepted);
         CHECK(tested.fence("s", 1, 2, start).window.at(0).state == record_state::begun);
     }
-    SUBCASE("the byte bound holds and bytes return to zero") {
+    SUBCASE("memory stays within the limit and returns to zero") {
         settings.max_total_bytes = 1000;
         settings.max_records = 1000;
         replica small(settings);
@@ -106,11 +106,11 @@
     }
 }
 
-TEST_CASE("a replica that lost its records serves only after it got the windows of the others") {
+TEST_CASE("a replica that lost its records serves only after the windows of the others are installed") {
     replica tested({}, replica_start::awaiting_install);
     CHECK_FALSE(tested.write(begun(1, 1), start).accepted);
     CHECK_FALSE(tested.fence("s", 1, 9, start).accepted);
-    SUBCASE("the most telling record of each key is kept, in any order of the windows") {
+    SUBCASE("the latest record of each key is kept, whatever the order of the windows") {
         for (const bool swapped : {false, true}) {
             replica copy({}, replica_start::awaiting_install);
             const shard_window a{"s", 1, 5, {begun(3, 2), make("m", 2, 1, record_state::not_run)}};
--- a/tests/ledger/world.h
+++ b/tests/ledger/simulation.h
@@ -14,39 +14,39 @@
 using ledger::replica_request;
 using ledger::verdict;
 
-/// Faults of the fake parts. Those under "broken" violate the rules, so that the checks can be seen to fail.
-struct world_options {
+/// Faults to simulate. Those under "injected bugs" break the protocol, to show that the checks detect it.
+struct simulation_options {
     double loss = 0;
     double duplication = 0;
     double late = 0; ///< fraction of messages that take up to 150 ms
     duration max_delay = std::chrono::milliseconds(4);
-    double shed = 0;        ///< fraction of requests that the upstream confirms not to have started
+    double shed = 0; ///< fraction of requests that the upstream sheds, confirming that they did not start
     double lost_answer = 0; ///< fraction of executions whose answer is lost
     duration service_time = std::chrono::milliseconds(3);
     ledger::replica_options replica;
-    // broken:
+    // injected bugs:
     bool replicas_ignore_epoch = false;
     bool one_acceptance_is_enough = false;
     bool empty_replica_serves = false;
     bool not_run_without_lease = false;
     bool late_not_run_replaces = false;
-    bool answers_cut = false;
+    bool truncates_answers = false;
 };
 
-enum class told : std::uint8_t { nothing, ran, not_run, unknown };
+enum class reported_outcome : std::uint8_t { nothing, ran, not_run, unknown };
 
-/// Gates, three replicas and an upstream that counts executions, over a fake network in virtual time.
-class world {
+/// Three gates, three replicas and an upstream that counts executions, over a fake network in virtual time.
+class simulation {
 public:
     struct submission {
         std::string gate, key, digest;
         std::uint64_t epoch = 0;
-        told result = told::nothing;
+        reported_outcome result = reported_outcome::nothing;
         std::string answer;
         std::optional<verdict> first;
     };
 
-    world(world_options settings, std::uint64_t seed) : options_(settings), random_(seed) {
+    simulation(simulation_options settings, std::uint64_t seed) : options_(settings), random_(seed) {
         for (const char* it : {"r1", "r2", "r3"}) {
             names_.emplace_back(it);
             replicas_.emplace(it, node{ledger::replica(settings.replica), {}, 0});
@@ -60,14 +60,14 @@
     std::size_t submit(const std::string& at, const std::string& key, const std::string& digest = "d") {
         const std::size_t id = submissions_.size();
         gate& g = gates_.at(at);
-        submissions_.push_back({at, key, digest, g.epoch, told::nothing, "", {}});
+        submissions_.push_back({at, key, digest, g.epoch, reported_outcome::nothing, "", {}});
         record wanted{"s", 1, key, g.epoch, 0, record_state::begun, 0, "", digest};
         send(at, g.writer.begin(
-                     wanted, g.replicas, [this, id](const decision& it) { decided(id, it); }, now_));
+                     wanted, g.replicas, [this, id](const decision& it) { on_decision(id, it); }, now_));
         return id;
     }
 
-    /// Makes @p name the gate at a new epoch. The former gate goes on with what it knows.
+    /// Makes @p name the gate at a new epoch. The former gate is not told and continues.
     void appoint(const std::string& name) {
         current_ = name;
         gates_.at(name).epoch = ++epoch_;
@@ -78,7 +78,7 @@
         replicas_.at(name).paused_until = std::max(replicas_.at(name).paused_until, now_ + length);
     }
 
-    /// The gate's replies and answers wait; it goes on afterwards with stale knowledge.
+    /// Delays replies and answers to the gate, which then continues with outdated state.
     void pause_gate(const std::string& name, duration length) {
         gates_.at(name).paused_until = now_ + length;
     }
@@ -87,7 +87,7 @@
     void heal() { cut_.clear(); }
 
     /// Restarts a replica empty and installs the windows of the others at a new epoch.
-    /// @returns false when another replica is paused, so that the windows cannot be read
+    /// @returns false if the windows cannot be read, since another replica is paused or not installed
     bool replace_replica(const std::string& name) {
         node& lost = replicas_.at(name);
         ++lost.incarnation;
@@ -99,6 +99,7 @@
         return install_missing();
     }
 
+    /// Installs the windows of the others at replicas that wait for it.
     bool install_missing() {
         for (auto& [name, it] : replicas_) {
             if (!it.copy.ready() && !install(it)) {
@@ -138,11 +139,11 @@
     }
     const std::string& current() const { return current_; }
     ledger::replica& copy(const std::string& name) { return replicas_.at(name).copy; }
-    std::uint64_t count(told value) const {
+    std::uint64_t count(reported_outcome value) const {
         return static_cast<std::uint64_t>(std::count_if(submissions_.begin(), submissions_.end(),
                                                         [&](const auto& it) { return it.result == value; }));
     }
-    /// Nothing is left half done once messages and timeouts have run out.
+    /// Number of operations in progress; 0 once all messages and timeouts have passed.
     std::size_t pending() const {
         std::size_t sum = 0;
         for (const auto& [name, g] : gates_) {
@@ -174,15 +175,15 @@
             std::uniform_int_distribution<std::int64_t>(100, std::max<std::int64_t>(limit, 101))(random_));
     }
 
-    void at_time(time_point when, std::function<void()> run) { events_.emplace(when, std::move(run)); }
+    void schedule(time_point when, std::function<void()> run) { events_.emplace(when, std::move(run)); }
 
-    /// Loses, delays, repeats and thereby reorders messages.
+    /// Loses, delays, duplicates and thereby reorders messages.
     void transmit(const std::function<void()>& deliver) {
         if (!chance(options_.loss)) {
-            at_time(now_ + delay(), deliver);
+            schedule(now_ + delay(), deliver);
         }
         if (chance(options_.duplication)) {
-            at_time(now_ + delay(), deliver);
+            schedule(now_ + delay(), deliver);
         }
     }
 
@@ -199,12 +200,12 @@
             return;
         }
         if (target.paused_until > now_) {
-            at_time(target.paused_until,
-                    [this, from, message, incarnation] { deliver(from, message, incarnation); });
+            schedule(target.paused_until,
+                     [this, from, message, incarnation] { deliver(from, message, incarnation); });
             return;
         }
         if (message.fence) {
-            reply_to_seal(from, message, target);
+            reply_to_fence(from, message, target);
         } else {
             reply_to_write(from, message, target);
         }
@@ -237,10 +238,10 @@
         }
     }
 
-    void reply_to_seal(const std::string& from, const replica_request& message, node& target) {
+    void reply_to_fence(const std::string& from, const replica_request& message, node& target) {
         auto reply = target.copy.fence(message.fence->first, message.fence->second, message.epoch, now_);
         for (auto& it : reply.window) {
-            if (options_.answers_cut && !it.answer.empty()) {
+            if (options_.truncates_answers && !it.answer.empty()) {
                 it.answer.pop_back();
             }
         }
@@ -256,7 +257,7 @@
     void at_gate(const std::string& to, const to_writer& call) {
         gate& g = gates_.at(to);
         if (g.paused_until > now_) {
-            at_time(g.paused_until, [this, to, call] { at_gate(to, call); });
+            schedule(g.paused_until, [this, to, call] { at_gate(to, call); });
             return;
         }
         send(to, call(g.writer, now_));
@@ -282,37 +283,38 @@
         return true;
     }
 
-    void decided(std::size_t id, const decision& it) {
+    void on_decision(std::size_t id, const decision& it) {
         submission& s = submissions_.at(id);
         s.first = it.result;
         switch (it.result) {
         case verdict::dispatch:
-            at_time(now_, [this, id, run = *it.known] { dispatch(id, run); });
+            schedule(now_, [this, id, run = *it.known] { dispatch(id, run); });
             break;
         case verdict::answer:
-            tell(id, told::ran, it.known->answer);
+            report(id, reported_outcome::ran, it.known->answer);
             break;
         case verdict::conflict:
-            tell(id, lease_valid(s.epoch) ? told::not_run : told::unknown, "");
+            report(id, lease_valid(s.epoch) ? reported_outcome::not_run : reported_outcome::unknown, "");
             break;
         case verdict::unavailable:
-            tell(id, lease_valid(it.known->epoch) ? told::not_run : told::unknown, "");
+            report(id, lease_valid(it.known->epoch) ? reported_outcome::not_run : reported_outcome::unknown,
+                   "");
             break;
         default:
-            tell(id, told::unknown, "");
+            report(id, reported_outcome::unknown, "");
         }
     }
 
-    /// The lease of a gate is modelled as ending exactly when the next epoch is issued.
+    /// In this model the lease of a gate ends exactly when the next epoch is issued.
     bool lease_valid(std::uint64_t epoch) const { return options_.not_run_without_lease || epoch == epoch_; }
 
     void dispatch(std::size_t id, const record& run) {
         const submission s = submissions_.at(id);
         ++in_flight_[{s.key, s.digest}];
-        if (s.result != told::nothing) {
-            violations_.push_back("dispatched after an outcome was told: " + s.key);
+        if (s.result != reported_outcome::nothing) {
+            violations_.push_back("dispatched after an outcome was reported: " + s.key);
         }
-        at_time(now_ + options_.service_time, [this, id, run] { execute(id, run); });
+        schedule(now_ + options_.service_time, [this, id, run] { execute(id, run); });
     }
 
     void execute(std::size_t id, record run) {
@@ -324,16 +326,16 @@
                 violations_.push_back("executed twice: " + s.key);
             }
             executed_.insert({s.key, s.digest});
-            const auto denied = not_run_told_.find({s.key, s.digest});
-            if (denied != not_run_told_.end() && denied->second > id) {
-                violations_.push_back("ran after a later request was told not-run: " + s.key);
+            const auto denied = reported_not_run_.find({s.key, s.digest});
+            if (denied != reported_not_run_.end() && denied->second > id) {
+                violations_.push_back("ran after not-run was reported to a later request: " + s.key);
             }
             run.state = record_state::answered;
             run.status = 200;
             run.answer = answers_[s.key] = "answer to " + s.key + " " + std::to_string(id);
             if (chance(options_.lost_answer)) {
                 gates_.at(s.gate).writer.abandon("s", 1, s.key);
-                tell(id, told::unknown, "");
+                report(id, reported_outcome::unknown, "");
                 return;
             }
         }
@@ -347,30 +349,34 @@
         const bool ran = run.state == record_state::answered;
         auto messages = at.finish(
             run, gates_.at(s.gate).replicas, [](bool) {}, now);
-        tell(id, ran ? told::ran : lease_valid(run.epoch) ? told::not_run : told::unknown, run.answer);
+        report(id,
+               ran                      ? reported_outcome::ran
+               : lease_valid(run.epoch) ? reported_outcome::not_run
+                                        : reported_outcome::unknown,
+               run.answer);
         return messages;
     }
 
-    void tell(std::size_t id, told result, const std::string& answer) {
+    void report(std::size_t id, reported_outcome result, const std::string& answer) {
         submission& s = submissions_.at(id);
-        if (s.result != told::nothing) {
-            violations_.push_back("told twice: " + s.key);
+        if (s.result != reported_outcome::nothing) {
+            violations_.push_back("outcome reported twice: " + s.key);
         }
         s.result = result;
         s.answer = answer;
         const std::pair<std::string, std::string> request{s.key, s.digest};
-        if (result == told::not_run && (executed_.contains(request) || in_flight_[request] > 0)) {
-            violations_.push_back("not-run while it ran or may run: " + s.key);
+        if (result == reported_outcome::not_run && (executed_.contains(request) || in_flight_[request] > 0)) {
+            violations_.push_back("not-run reported although it ran or may run: " + s.key);
         }
-        if (result == told::not_run) {
-            not_run_told_[request] = id;
+        if (result == reported_outcome::not_run) {
+            reported_not_run_[request] = id;
         }
-        if (result == told::ran && answer != answers_[s.key]) {
-            violations_.push_back("another answer than the recorded one: " + s.key);
+        if (result == reported_outcome::ran && answer != answers_[s.key]) {
+            violations_.push_back("answer differs from the recorded one: " + s.key);
         }
     }
 
-    world_options options_;
+    simulation_options options_;
     std::mt19937_64 random_;
     time_point now_{std::chrono::seconds(1)};
     std::multimap<time_point, std::function<void()>> events_;
@@ -385,7 +391,7 @@
     std::map<std::string, std::string> answers_;
     std::set<std::pair<std::string, std::string>> executed_;
     std::map<std::pair<std::string, std::string>, int> in_flight_;
-    std::map<std::pair<std::string, std::string>, std::size_t> not_run_told_;
+    std::map<std::pair<std::string, std::string>, std::size_t> reported_not_run_;
     std::vector<std::string> violations_;
 };
 
--- a/tests/ledger/writer_test.cpp
+++ b/tests/ledger/writer_test.cpp
@@ -15,12 +15,13 @@
     return {"s", 1, key, epoch, 0, record_state::begun, 0, "", "d"};
 }
 
-/// A writer whose replies are given by hand, sealed at epoch 5 with an empty window.
-struct by_hand {
+/// A writer that has fenced shard 1 at epoch 5 with an empty window and has dispatched the key "first". The
+/// test supplies all replies.
+struct fenced_writer {
     writer tested{30ms, 10s};
-    std::vector<decision> told;
+    std::vector<decision> decisions;
 
-    by_hand() {
+    fenced_writer() {
         const auto fence = begin(make("first"));
         REQUIRE(fence.size() == 3);
         REQUIRE(fence[0].fence);
@@ -30,14 +31,14 @@
         tested.on_fence_reply(fence[0].operation, "r3", {true, 5, {}}, start);
         reply(writes[0].operation, "r1", true);
         reply(writes[0].operation, "r2", true);
-        REQUIRE(told.size() == 1);
-        REQUIRE(told[0].result == verdict::dispatch);
-        told.clear();
+        REQUIRE(decisions.size() == 1);
+        REQUIRE(decisions[0].result == verdict::dispatch);
+        decisions.clear();
         REQUIRE(tested.pending() == 0);
     }
     std::vector<replica_request> begin(const record& wanted, time_point now = start) {
         return tested.begin(
-            wanted, names, [this](const decision& it) { told.push_back(it); }, now);
+            wanted, names, [this](const decision& it) { decisions.push_back(it); }, now);
     }
     std::vector<replica_request> reply(std::uint64_t operation, const std::string& from, bool accepted,
                                        std::optional<record> existing = {}, std::uint64_t epoch = 5) {
@@ -47,87 +48,87 @@
 
 } // namespace
 
-TEST_CASE("the writer counts each replica once and gives a failed attempt up for good") {
-    by_hand it;
+TEST_CASE("the writer counts each replica once and never resumes a failed attempt") {
+    fenced_writer it;
     const auto writes = it.begin(make("k"));
     REQUIRE(writes.size() == 3);
     const auto id = writes[0].operation;
-    SUBCASE("a replica that answers twice is not a majority, nor is a stranger") {
+    SUBCASE("repeated replies and replies of other instances do not count toward the majority") {
         it.reply(id, "r1", true);
         it.reply(id, "r1", true);
         it.reply(id, "r9", true);
-        CHECK(it.told.empty());
+        CHECK(it.decisions.empty());
         it.reply(id, "r3", true);
-        REQUIRE(it.told.size() == 1);
-        CHECK(it.told[0].result == verdict::dispatch);
+        REQUIRE(it.decisions.size() == 1);
+        CHECK(it.decisions[0].result == verdict::dispatch);
         it.reply(id, "r2", true);
-        CHECK(it.told.size() == 1);
+        CHECK(it.decisions.size() == 1);
     }
-    SUBCASE("refused by one and timed out at another: a late acceptance must not dispatch") {
+    SUBCASE("an acceptance after the attempt failed does not dispatch") {
         it.reply(id, "r1", true);
         it.reply(id, "r2", false);
         const auto cleanup = it.tested.tick(start + 30ms);
-        REQUIRE(it.told.size() == 1);
-        CHECK(it.told[0].result == verdict::unavailable);
+        REQUIRE(it.decisions.size() == 1);
+        CHECK(it.decisions[0].result == verdict::unavailable);
         REQUIRE(cleanup.size() == 3);
         CHECK(cleanup[0].write->state == record_state::not_run);
         CHECK(cleanup[0].write->attempt == writes[0].write->attempt);
         it.reply(id, "r3", true);
-        CHECK(it.told.size() == 1);
-        SUBCASE("a resend is a later attempt, so that the late not_run cannot hide it") {
+        CHECK(it.decisions.size() == 1);
+        SUBCASE("a resend is a later attempt, which a delayed not_run cannot replace") {
             const auto again = it.begin(make("k"));
             REQUIRE(again.size() == 3);
             CHECK(again[0].write->attempt > cleanup[0].write->attempt);
         }
-        SUBCASE("the cleanup itself ends") {
+        SUBCASE("the not_run writes end too") {
             it.tested.tick(start + 60ms);
             CHECK(it.tested.pending() == 0);
         }
     }
-    SUBCASE("a record of another gate that was not in the window: in doubt unless a majority accepts") {
+    SUBCASE("begun of another gate that was not in the window means in doubt, unless a majority accepts") {
         it.reply(id, "r1", false, make("k", 3));
         it.reply(id, "r2", true);
-        CHECK(it.told.empty());
+        CHECK(it.decisions.empty());
         it.tested.on_replica_failed(id, "r3", start);
-        REQUIRE(it.told.size() == 1);
-        CHECK(it.told[0].result == verdict::in_doubt);
+        REQUIRE(it.decisions.size() == 1);
+        CHECK(it.decisions[0].result == verdict::in_doubt);
     }
-    SUBCASE("an answer found on the way is returned") {
+    SUBCASE("an answer that a replica already has is returned") {
         record known = make("k", 3);
         known.state = record_state::answered;
         known.answer = "a";
         it.reply(id, "r1", false, known);
-        REQUIRE(it.told.size() == 1);
-        CHECK(it.told[0].result == verdict::answer);
-        CHECK(it.told[0].known->answer == "a");
+        REQUIRE(it.decisions.size() == 1);
+        CHECK(it.decisions[0].result == verdict::answer);
+        CHECK(it.decisions[0].known->answer == "a");
     }
-    SUBCASE("a higher epoch fences the gate at once") {
+    SUBCASE("a replica that knows a higher epoch makes the gate stale at once") {
         it.reply(id, "r1", true);
         it.reply(id, "r2", false, {}, 9);
         it.reply(id, "r3", true);
-        REQUIRE(it.told.size() == 1);
-        CHECK(it.told[0].result == verdict::stale);
+        REQUIRE(it.decisions.size() == 1);
+        CHECK(it.decisions[0].result == verdict::stale);
     }
-    SUBCASE("duplicates wait and share the decision of a failed attempt") {
+    SUBCASE("duplicates wait and get the decision of a failed attempt") {
         CHECK(it.begin(make("k")).empty());
         it.tested.tick(start + 30ms);
-        REQUIRE(it.told.size() == 2);
-        CHECK(it.told[0].result == verdict::unavailable);
-        CHECK(it.told[1].result == verdict::unavailable);
+        REQUIRE(it.decisions.size() == 2);
+        CHECK(it.decisions[0].result == verdict::unavailable);
+        CHECK(it.decisions[1].result == verdict::unavailable);
     }
-    SUBCASE("a higher epoch of the same gate seals again and ends what was being written") {
+    SUBCASE("a higher epoch of the same gate fences again and ends writes in progress") {
         const auto fence = it.begin(make("other", 6));
         REQUIRE(fence.size() == 3);
         CHECK(fence[0].fence);
-        REQUIRE(it.told.size() == 1);
-        CHECK(it.told[0].result == verdict::stale);
+        REQUIRE(it.decisions.size() == 1);
+        CHECK(it.decisions[0].result == verdict::stale);
         CHECK(it.begin(make("k", 5)).empty());
-        CHECK(it.told.back().result == verdict::stale);
+        CHECK(it.decisions.back().result == verdict::stale);
     }
 }
 
-TEST_CASE("results reach duplicates, and what the replicas refuse to keep is in doubt later") {
-    by_hand it;
+TEST_CASE("results reach duplicates, and results that the replicas refuse are in doubt later") {
+    fenced_writer it;
     record result = make("first");
     result.state = record_state::answered;
     result.answer = "a";
@@ -139,17 +140,17 @@
     CHECK(it.begin(make("first")).empty());
     SUBCASE("the waiting duplicate and a later resend get the recorded answer") {
         const auto writes = finish(result);
-        REQUIRE(it.told.size() == 1);
-        CHECK(it.told[0].result == verdict::answer);
+        REQUIRE(it.decisions.size() == 1);
+        CHECK(it.decisions[0].result == verdict::answer);
         it.reply(writes[0].operation, "r1", true);
         CHECK_FALSE(recorded);
         it.reply(writes[0].operation, "r2", true);
         CHECK(recorded == true);
         it.begin(make("first"));
-        CHECK(it.told.back().result == verdict::answer);
-        CHECK(it.told.back().known->answer == "a");
+        CHECK(it.decisions.back().result == verdict::answer);
+        CHECK(it.decisions.back().known->answer == "a");
     }
-    SUBCASE("lost writes of an answer are sent again, to the replicas that have not answered") {
+    SUBCASE("lost writes of an answer are resent to the replicas that have not replied") {
         const auto writes = finish(result);
         it.reply(writes[0].operation, "r1", true);
         const auto again = it.tested.tick(start + 30ms);
@@ -158,34 +159,34 @@
         it.reply(again[0].operation, "r3", true);
         CHECK(recorded == true);
     }
-    SUBCASE("an answer that a majority refuses makes later resends in doubt") {
+    SUBCASE("later resends are in doubt if a majority refuses the answer") {
         const auto writes = finish(result);
         it.reply(writes[0].operation, "r1", false);
         it.reply(writes[0].operation, "r2", false);
         CHECK(recorded == false);
         it.begin(make("first"));
-        CHECK(it.told.back().result == verdict::in_doubt);
+        CHECK(it.decisions.back().result == verdict::in_doubt);
     }
-    SUBCASE("an abandoned request is in doubt, until its late answer is recorded") {
+    SUBCASE("an abandoned request is in doubt until its late answer is recorded") {
         it.tested.abandon("s", 1, "first");
-        REQUIRE(it.told.size() == 1);
-        CHECK(it.told[0].result == verdict::in_doubt);
+        REQUIRE(it.decisions.size() == 1);
+        CHECK(it.decisions[0].result == verdict::in_doubt);
         it.begin(make("first"));
-        CHECK(it.told.back().result == verdict::in_doubt);
+        CHECK(it.decisions.back().result == verdict::in_doubt);
         CHECK(finish(result).size() == 3);
         it.begin(make("first"));
-        CHECK(it.told.back().result == verdict::answer);
+        CHECK(it.decisions.back().result == verdict::answer);
     }
-    SUBCASE("a result for a key that was not dispatched here is ignored") {
+    SUBCASE("a result for a key that this writer did not dispatch is ignored") {
         record other = result;
         other.key = "unknown";
         CHECK(finish(other).empty());
         CHECK(recorded == false);
     }
-    SUBCASE("a key is remembered for longer than the replicas keep it, then dropped") {
+    SUBCASE("a key is kept for longer than at the replicas, then dropped") {
         finish(result);
         it.begin(make("first"), start + 11s);
-        CHECK(it.told.back().result == verdict::answer);
+        CHECK(it.decisions.back().result == verdict::answer);
         CHECK(it.begin(make("first"), start + 13s).size() == 3);
     }
 }
@@ -208,101 +209,101 @@
     CHECK(recorded);
 }
 
-TEST_CASE("without replicas nothing is dispatched, and the caller is not told that the key never ran") {
+TEST_CASE("without replicas nothing is dispatched and the key is in doubt") {
     writer tested(30ms);
-    std::optional<decision> told;
+    std::optional<decision> decisions;
     CHECK(tested
               .begin(
-                  make("k"), {}, [&](const decision& it) { told = it; }, start)
+                  make("k"), {}, [&](const decision& it) { decisions = it; }, start)
               .empty());
-    REQUIRE(told);
-    CHECK(told->result == verdict::in_doubt);
-    CHECK_FALSE(told->known);
+    REQUIRE(decisions);
+    CHECK(decisions->result == verdict::in_doubt);
+    CHECK_FALSE(decisions->known);
 }
 
-TEST_CASE("a check reports what the window says of a key and records nothing") {
-    // Guards against `not-run` for a request that is refused early although an earlier send of its key ran.
-    by_hand it;
+TEST_CASE("a check looks a key up and records nothing") {
+    // Guards against `not-run` for a request that is refused early although its key ran before.
+    fenced_writer it;
     const auto check = [&](const record& wanted) {
-        it.told.clear();
+        it.decisions.clear();
         return it.tested.check(
-            wanted, names, [&](const decision& found) { it.told.push_back(found); }, start);
+            wanted, names, [&](const decision& found) { it.decisions.push_back(found); }, start);
     };
-    const auto told_at_once = [&](const record& wanted) {
+    const auto checked_at_once = [&](const record& wanted) {
         CHECK(check(wanted).empty());
-        REQUIRE(it.told.size() == 1);
-        return it.told[0];
+        REQUIRE(it.decisions.size() == 1);
+        return it.decisions[0];
     };
-    SUBCASE("a sealed shard is a lookup, and an absent key stays free to begin") {
-        const auto absent = told_at_once(make("k"));
+    SUBCASE("a check in a fenced shard sends nothing, and an absent key can still begin") {
+        const auto absent = checked_at_once(make("k"));
         CHECK(absent.result == verdict::unavailable);
         CHECK_FALSE(absent.known);
         CHECK(it.tested.pending() == 0);
         CHECK(it.begin(make("k")).size() == 3);
     }
-    SUBCASE("in progress: in doubt at once, since the refused request may not wait") {
-        CHECK(told_at_once(make("first")).result == verdict::in_doubt);
+    SUBCASE("a key in progress is in doubt at once, since the refused request may not wait") {
+        CHECK(checked_at_once(make("first")).result == verdict::in_doubt);
         it.tested.abandon("s", 1, "first");
-        const auto abandoned = told_at_once(make("first"));
+        const auto abandoned = checked_at_once(make("first"));
         CHECK(abandoned.result == verdict::in_doubt);
         CHECK(abandoned.known);
     }
-    SUBCASE("finished: the recorded answer, or no run") {
+    SUBCASE("a finished key") {
         record result = make("first");
         result.state = record_state::answered;
         result.answer = "a";
-        SUBCASE("answered") {
+        SUBCASE("has its recorded answer") {
             it.tested.finish(
                 result, names, [](bool) {}, start);
-            const auto found = told_at_once(make("first"));
+            const auto found = checked_at_once(make("first"));
             CHECK(found.result == verdict::answer);
             CHECK(found.known->answer == "a");
             auto other = make("first");
             other.digest = "another request";
-            CHECK(told_at_once(other).result == verdict::conflict);
+            CHECK(checked_at_once(other).result == verdict::conflict);
         }
-        SUBCASE("not started") {
+        SUBCASE("that did not start is unavailable") {
             result.state = record_state::not_run;
             it.tested.finish(
                 result, names, [](bool) {}, start);
-            CHECK(told_at_once(make("first")).result == verdict::unavailable);
+            CHECK(checked_at_once(make("first")).result == verdict::unavailable);
         }
     }
-    SUBCASE("an unsealed shard is sealed first, once for all checks that wait") {
+    SUBCASE("a shard that is not fenced yet is fenced once for all waiting checks") {
         const auto fence = check(make("k", 6));
         REQUIRE(fence.size() == 3);
         CHECK(fence[0].fence);
-        CHECK(it.told.empty());
-        int also_told = 0;
+        CHECK(it.decisions.empty());
+        int second_decisions = 0;
         const auto second = it.tested.check(
-            make("k2", 6), names, [&](const decision&) { ++also_told; }, start);
+            make("k2", 6), names, [&](const decision&) { ++second_decisions; }, start);
         CHECK(second.empty());
-        SUBCASE("an earlier run in the window of one replica of a majority is found") {
+        SUBCASE("an earlier attempt in the window of one replica of the majority is found") {
             const record begun = make("k", 5);
             it.tested.on_fence_reply(fence[0].operation, "r1", {true, 6, {}}, start);
-            CHECK(it.told.empty());
+            CHECK(it.decisions.empty());
             CHECK(it.tested.on_fence_reply(fence[0].operation, "r2", {true, 6, {begun}}, start).empty());
-            REQUIRE(it.told.size() == 1);
-            CHECK(it.told[0].result == verdict::in_doubt);
-            CHECK(it.told[0].known);
-            CHECK(also_told == 1);
+            REQUIRE(it.decisions.size() == 1);
+            CHECK(it.decisions[0].result == verdict::in_doubt);
+            CHECK(it.decisions[0].known);
+            CHECK(second_decisions == 1);
         }
-        SUBCASE("a window that no majority lets this gate read is in doubt") {
+        SUBCASE("without a majority of windows the key is in doubt") {
             it.tested.on_replica_failed(fence[0].operation, "r1", start);
             it.tested.tick(start + 30ms);
-            REQUIRE(it.told.size() == 1);
-            CHECK(it.told[0].result == verdict::in_doubt);
-            CHECK_FALSE(it.told[0].known);
+            REQUIRE(it.decisions.size() == 1);
+            CHECK(it.decisions[0].result == verdict::in_doubt);
+            CHECK_FALSE(it.decisions[0].known);
         }
         SUBCASE("a replica that knows a higher epoch makes the gate stale") {
             it.tested.on_fence_reply(fence[0].operation, "r1", {false, 9, {}}, start);
-            REQUIRE(it.told.size() == 1);
-            CHECK(it.told[0].result == verdict::stale);
+            REQUIRE(it.decisions.size() == 1);
+            CHECK(it.decisions[0].result == verdict::stale);
         }
     }
 }
 
-TEST_CASE("a longer retention covers what is already held, and key ages only as far as it is") {
+TEST_CASE("a longer retention extends existing records, and the guaranteed age of keys grows with time") {
     // Guards against a second run of a key whose record was dropped under a shorter retention.
     SUBCASE("replica") {
         replica tested({.retention = 10s});
@@ -317,17 +318,17 @@
         CHECK(tested.size() == 0);
     }
     SUBCASE("writer") {
-        by_hand it;
+        fenced_writer it;
         record result = make("first");
         result.state = record_state::answered;
         it.tested.finish(
             result, names, [](bool) {}, start);
         it.tested.set_retention(60s);
         it.begin(make("first"), start + 70s);
-        REQUIRE(it.told.size() == 1);
-        CHECK(it.told[0].result == verdict::answer);
+        REQUIRE(it.decisions.size() == 1);
+        CHECK(it.decisions[0].result == verdict::answer);
     }
-    SUBCASE("age") {
+    SUBCASE("guaranteed age") {
         guaranteed_retention tested(10s);
         tested.set_retention(600s, start);
         CHECK(tested.at(start) == 600s);
