--- a/src/ledger/writer_requests.cpp
+++ b/src/ledger/writer_requests.cpp
@@ -146,9 +146,10 @@
         entry.known.epoch = shard->second.epoch;
     }
     entry.stage = phase::settled;
-    const auto outcome = result.state == record_state::answered ? verdict::answer : verdict::unavailable;
+    const auto duplicate_verdict =
+        result.state == record_state::answered ? verdict::answer : verdict::unavailable;
     for (const auto& waiter : std::exchange(entry.waiting, {})) {
-        out.decide(waiter, outcome, entry.known);
+        out.decide(waiter, duplicate_verdict, entry.known);
     }
     schedule_expiry(shard->second, id, result.key);
     operation wanted;
