--- a/include/kingcupseam/wire.h
+++ b/include/kingcupseam/wire.h
@@ -14,13 +14,13 @@
 
 namespace kingcupseam::wire {
 
-/// Bytes that are not the compact form of the expected struct.
+/// The bytes are not the compact encoding of the expected struct.
 class malformed_payload : public error {
 public:
     using error::error;
 };
 
-/// Compact form of a struct that Thrift generated.
+/// Encodes a generated Thrift struct in the compact protocol.
 template <class T>
 std::string to_bytes(const T& value) {
     const auto buffer = std::make_shared<apache::thrift::transport::TMemoryBuffer>();
@@ -29,13 +29,13 @@
     return buffer->getBufferAsString();
 }
 
-/// Reads the compact form. Unknown fields and bytes after the end are skipped.
+/// Decodes the compact encoding. Unknown fields and bytes after the end are ignored.
 /// @throws malformed_payload
 template <class T>
 T from_bytes(std::string_view payload) {
     using apache::thrift::transport::TMemoryBuffer;
-    // Strings and list elements take at least one byte each. Without the limit a few bytes could make the
-    // decoder reserve gigabytes.
+    // A string of n bytes or list of n elements takes at least n bytes. Without the limit a few bytes could
+    // make the decoder reserve gigabytes.
     const auto limit = static_cast<std::int32_t>(
         std::clamp<std::size_t>(payload.size(), 1, std::numeric_limits<std::int32_t>::max()));
     // TMemoryBuffer takes a mutable pointer but only reads from it in OBSERVE mode.
@@ -55,9 +55,9 @@
     return value;
 }
 
-/// Reads a stored or replicated value. Members must agree on it byte for byte, so anything but the exact form
-/// that to_bytes() writes is refused: unknown fields, other orders of fields and bytes after the end.
-/// @param source name of the value, for errors
+/// Decodes a stored or replicated value. Members must agree on it byte for byte, so only the exact encoding
+/// of to_bytes() is accepted: no unknown fields, no other order of fields and no bytes after the end.
+/// @param source name of the value in error messages
 /// @throws invalid_input
 template <class T>
 T parse_exact(const std::string& source, std::string_view bytes) {
--- a/tests/wire/wire_test.cpp
+++ b/tests/wire/wire_test.cpp
@@ -19,12 +19,12 @@
 
 } // namespace
 
-TEST_CASE("a value is read back as it was written") {
+TEST_CASE("a value is decoded as it was encoded") {
     const auto bytes = wire::to_bytes(change());
     CHECK(wire::from_bytes<wire::ProfileChange>(bytes) == change());
     CHECK(wire::parse_exact<wire::ProfileChange>("value", bytes) == change());
 
-    SUBCASE("a cut at any place is an error instead of a read past the end") {
+    SUBCASE("bytes truncated at any position are an error") {
         for (std::size_t n = 0; n < bytes.size(); ++n) {
             const auto cut = std::string_view(bytes).substr(0, n);
             CHECK_THROWS_AS(wire::from_bytes<wire::ProfileChange>(cut), wire::malformed_payload);
@@ -34,20 +34,20 @@
 }
 
 TEST_CASE("damaged bytes are refused") {
-    SUBCASE("a list length that would allocate far more than the bytes hold") {
+    SUBCASE("a list length that exceeds the bytes") {
         // Field 1, a list of structs whose count is 134,217,727.
         const std::string bytes("\x19\xfc\xff\xff\xff\x3f\x00", 7);
         CHECK_THROWS_AS(wire::from_bytes<wire::GroupMembership>(bytes), wire::malformed_payload);
     }
-    SUBCASE("a text that is longer than the bytes") {
+    SUBCASE("a string length that exceeds the bytes") {
         const std::string bytes("\x18\xff\xff\xff\x3f\x00", 6);
         CHECK_THROWS_AS(wire::from_bytes<wire::ProfileChange>(bytes), wire::malformed_payload);
     }
-    SUBCASE("bytes after the end, which mean that writer and reader disagree") {
+    SUBCASE("parse_exact refuses bytes after the end") {
         const auto bytes = wire::to_bytes(change()) + "x";
         CHECK_THROWS_AS(wire::parse_exact<wire::ProfileChange>("value", bytes), invalid_input);
     }
-    SUBCASE("a field of a later release, which this one would drop from a replicated value") {
+    SUBCASE("parse_exact refuses an unknown field, as of a later release") {
         const auto bytes = wire::to_bytes(change());
         const auto more = bytes.substr(0, bytes.size() - 1) + std::string("\x18\x01x\x00", 4);
         CHECK(wire::from_bytes<wire::ProfileChange>(more) == change());
