--- a/examples/embedded_log.cpp
+++ b/examples/embedded_log.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A counter replicated over three nodes in this process; time is virtual and messages arrive at once.
+/// A counter replicated over three nodes in this process. Time is virtual and messages arrive at once.
 class replicated_counter {
 public:
     replicated_counter() {
@@ -94,6 +94,6 @@
             return 1;
         }
     }
-    counter.run(std::chrono::milliseconds(100)); // the next heartbeat tells the followers what is committed
+    counter.run(std::chrono::milliseconds(100)); // the next heartbeat gives the followers the commit index
     counter.print();
 }
