--- a/fuzz/transport_frame.cpp
+++ b/fuzz/transport_frame.cpp
@@ -1,4 +1,4 @@
-// Feeds arbitrary bytes to the frame decoder and to the decoder of one large payload type.
+// Passes arbitrary bytes to the frame decoder and to the decoder of one large payload type.
 #include <kingcupseam/transport.h>
 
 #include <peer_types.h>
--- a/tests/transport/frame_test.cpp
+++ b/tests/transport/frame_test.cpp
@@ -7,12 +7,12 @@
 using namespace kingcupseam;
 using namespace kingcupseam::transport;
 
-TEST_CASE("a byte stream is cut into frames") {
+TEST_CASE("a byte stream is split into frames") {
     const frame first{frame_type::forward_request, 7, "hello"};
     const frame second{frame_type::heartbeat, 0, ""};
     const std::string stream = encode_frame(first) + encode_frame(second);
 
-    SUBCASE("whatever the sizes of the pieces are") {
+    SUBCASE("for any size of the pieces") {
         for (std::size_t piece = 1; piece <= stream.size(); ++piece) {
             frame_decoder decoder;
             std::vector<frame> received;
@@ -25,7 +25,7 @@
             CHECK(received == std::vector<frame>{first, second});
         }
     }
-    SUBCASE("an oversize, undersize or unknown frame is an error and allocates nothing") {
+    SUBCASE("a frame that is too large, too small or of unknown type is an error") {
         for (const std::string& bytes :
              {std::string("\xff\xff\xff\xff", 4), std::string("\x00\x00\x00\x09", 4),
               std::string("\x00\x00\x00\x0a\x00\x00\0\0\0\0\0\0\0\0", 14),
@@ -35,7 +35,7 @@
             CHECK_THROWS_AS(decoder.next(), malformed_frame);
         }
     }
-    SUBCASE("a payload above the limit is refused before it is sent") {
+    SUBCASE("a payload above the limit is refused by the encoder") {
         CHECK_THROWS_AS(encode_frame({frame_type::heartbeat, 0, std::string(max_frame_bytes, 'x')}),
                         malformed_frame);
     }
@@ -47,16 +47,16 @@
     request.body = std::string("\0\1\2", 3);
     request.shard = 4095;
 
-    SUBCASE("a struct survives the round trip") {
+    SUBCASE("a struct is decoded as it was encoded") {
         CHECK(decode<wire::ForwardRequest>(encode(request)) == request);
     }
-    SUBCASE("a cut-off payload is a typed error") {
+    SUBCASE("a truncated payload throws malformed_frame") {
         const std::string bytes = encode(request);
         for (std::size_t n = 0; n < bytes.size(); ++n) {
             CHECK_THROWS_AS(decode<wire::ForwardRequest>(bytes.substr(0, n)), malformed_frame);
         }
     }
-    SUBCASE("a list length beyond the payload is a typed error, not an allocation") {
+    SUBCASE("a list length that exceeds the payload throws malformed_frame") {
         // Field 9 (list of structs) with a claimed size of 2^31 - 1 elements.
         const std::string bytes("\x99\xfc\xff\xff\xff\xff\x07", 7);
         CHECK_THROWS_AS(decode<wire::ForwardRequest>(bytes), malformed_frame);
--- a/tests/transport/link_test.cpp
+++ b/tests/transport/link_test.cpp
@@ -27,7 +27,7 @@
     return true;
 }
 
-/// Answers every request with its own payload.
+/// Replies to a request with its own payload.
 void echo(const std::shared_ptr<connection>& from, frame received) {
     from->send({frame_type::forward_response, received.correlation, std::move(received.payload)});
 }
@@ -36,7 +36,7 @@
     return {{name, 1}, "north"};
 }
 
-/// A peer that accepts and greets, and then never sends again.
+/// A peer that accepts connections, sends its hello and then nothing more.
 struct silent_peer {
     explicit silent_peer(asio::io_context& context)
         : acceptor(context, {asio::ip::make_address(listen_address.ip), listen_address.port}) {
@@ -62,15 +62,15 @@
 
 } // namespace
 
-TEST_CASE("a link carries requests to a peer") {
+TEST_CASE("a link sends requests to a peer") {
     asio::io_context context;
 
-    SUBCASE("while the peer answers") {
+    SUBCASE("that replies") {
         peer_server peer(context, listen_address, identity("b"), {}, echo);
         peer_link to_peer(context, listen_address, identity("a"), {}, nullptr);
         REQUIRE(run_until(context, [&] { return to_peer.up(); }));
 
-        SUBCASE("each request gets its own answer") {
+        SUBCASE("each request gets its own reply") {
             int matched = 0;
             for (int n = 0; n < 100; ++n) {
                 const std::string payload = std::to_string(n);
@@ -89,7 +89,7 @@
             CHECK(to_peer.up());
         }
     }
-    SUBCASE("a request without a link is reported as not sent, so that it may go elsewhere") {
+    SUBCASE("a request on a link that is down fails as not_sent") {
         peer_link to_nobody(context, listen_address, identity("a"), {}, nullptr);
         std::optional<reply> result;
         to_nobody.request({frame_type::forward_request, 0, "x"}, 1s,
@@ -97,7 +97,7 @@
         REQUIRE(run_until(context, [&] { return result.has_value(); }));
         CHECK(result->failure == link_failure::not_sent);
     }
-    SUBCASE("a connection that falls silent is closed and dialled anew") {
+    SUBCASE("a silent connection is closed and dialled again") {
         silent_peer peer(context);
         peer_link to_peer(context, listen_address, identity("a"), {}, nullptr);
         REQUIRE(run_until(context, [&] { return to_peer.up(); }));
@@ -106,12 +106,12 @@
                         [&](reply it) { result = std::move(it); });
         const auto start = std::chrono::steady_clock::now();
         REQUIRE(run_until(context, [&] { return result.has_value(); }));
-        // The stated bound for telling a silent connection from a working one is 1 s.
+        // A silent connection must be detected within 1 s.
         CHECK(std::chrono::steady_clock::now() - start < 1s);
         CHECK(result->failure == link_failure::lost);
         CHECK(run_until(context, [&] { return peer.accepted >= 2 && to_peer.up(); }));
     }
-    SUBCASE("a request that is not answered in time ends with a timeout") {
+    SUBCASE("a request without a reply in time fails as timeout") {
         peer_server peer(context, listen_address, identity("b"), {}, [](const auto&, const frame&) {});
         peer_link to_peer(context, listen_address, identity("a"), {}, nullptr);
         REQUIRE(run_until(context, [&] { return to_peer.up(); }));
@@ -123,7 +123,7 @@
     }
 }
 
-TEST_CASE("datagrams reach the other channel and oversize ones are dropped") {
+TEST_CASE("datagrams reach the other channel, and oversize ones are dropped") {
     asio::io_context context;
     std::string received;
     datagram_channel b(context, {"127.0.0.1", 39412},
@@ -135,7 +135,8 @@
     CHECK(received == "probe");
 }
 
-// Guards against a link that pays for headers again and again: bytes between data centres are dear.
+// Guards against sending the same headers uncompressed with every request: traffic between data centres is
+// expensive.
 TEST_CASE("a compressed link carries the same frames in fewer bytes") {
     asio::io_context context;
     link_options settings;
@@ -155,14 +156,14 @@
     CHECK(to_peer.bytes_sent() < 200 * headers.size() / 4);
     CHECK(to_peer.bytes_received() < 200 * headers.size() / 4);
 
-    SUBCASE("and one larger than a block of the stream") {
+    SUBCASE("also a frame larger than a compression block") {
         const std::string large(300000, 'x');
         bool same = false;
         to_peer.request({frame_type::forward_request, 0, large}, 1s,
                         [&](const reply& it) { same = it.answer && it.answer->payload == large; });
         CHECK(run_until(context, [&] { return same; }));
     }
-    SUBCASE("and works with a peer that does not compress") {
+    SUBCASE("also with a peer that does not compress") {
         const endpoint_address other{"127.0.0.1", 39412};
         peer_server plain(context, other, identity("c"), {}, echo);
         peer_link to_plain(context, other, identity("a"), settings, nullptr);
@@ -174,7 +175,7 @@
     }
 }
 
-TEST_CASE("a link whose heartbeats stop while it is idle") {
+TEST_CASE("a link without heartbeats when idle") {
     asio::io_context context;
     link_options settings;
     settings.heartbeat_when_idle = false;
@@ -191,28 +192,28 @@
         CHECK(to_peer.up());
         CHECK(to_peer.bytes_sent() == sent);
 
-        SUBCASE("and waits longer for an answer than the silence that ends it, while the peer lives") {
-            std::shared_ptr<connection> asker;
-            frame question;
+        SUBCASE("and waits for a reply longer than the heartbeat timeout while the peer is alive") {
+            std::shared_ptr<connection> requester;
+            frame received_request;
             peer_server slow(context, {"127.0.0.1", 39413}, identity("c"), settings,
                              [&](const std::shared_ptr<connection>& from, frame received) {
-                                 asker = from;
-                                 question = std::move(received);
+                                 requester = from;
+                                 received_request = std::move(received);
                              });
             peer_link to_slow(context, {"127.0.0.1", 39413}, identity("a"), settings, nullptr);
             REQUIRE(run_until(context, [&] { return to_slow.up(); }));
             std::optional<reply> answer;
             to_slow.request({frame_type::forward_request, 0, "x"}, 1s, [&](const reply& it) { answer = it; });
             const auto later = steady_now() + 300ms;
-            CHECK(run_until(context, [&] { return asker && steady_now() > later; }));
+            CHECK(run_until(context, [&] { return requester && steady_now() > later; }));
             CHECK_FALSE(answer);
-            echo(asker, question);
+            echo(requester, received_request);
             CHECK(run_until(context, [&] { return answer.has_value(); }));
             CHECK(answer->answer.has_value());
         }
     }
-    // Guards against requests that wait for a frozen gate until their own limit.
-    SUBCASE("fails a pending request soon when the peer is silent") {
+    // Guards against requests that wait for a frozen gate until their own timeout.
+    SUBCASE("fails a pending request after the heartbeat timeout if the peer is silent") {
         silent_peer peer(context);
         peer_link to_peer(context, listen_address, identity("a"), settings, nullptr);
         REQUIRE(run_until(context, [&] { return to_peer.up(); }));
