--- a/include/kingcupseam/transport.h
+++ b/include/kingcupseam/transport.h
@@ -62,7 +62,7 @@
     auto operator<=>(const frame&) const = default;
 };
 
-/// A frame or payload that does not follow docs/protocol.md; the link it came from is closed.
+/// A frame or payload that violates docs/protocol.md. The connection that it came from is closed.
 class malformed_frame : public error {
 public:
     using error::error;
@@ -70,14 +70,14 @@
 
 std::string encode_frame(const frame& source);
 
-/// Cuts a byte stream into frames.
+/// Splits a byte stream into frames.
 class frame_decoder {
 public:
     void feed(std::string_view bytes);
-    /// @returns the next complete frame
+    /// @returns the next frame; empty if none is complete
     /// @throws malformed_frame on an unknown type or a length out of range
     std::optional<frame> next();
-    /// Bytes behind the last frame, which are taken out of the decoder.
+    /// Removes and returns the bytes after the last frame that next() returned.
     std::string take_rest();
 
 private:
@@ -85,8 +85,8 @@
     std::size_t consumed_ = 0;
 };
 
-/// Encodes a generated Thrift struct in the compact protocol. Instantiated for the structs of
-/// idl/peer.thrift.
+/// Encodes a generated Thrift struct in the compact protocol. Instantiated in codec.cpp for the structs that
+/// frames carry.
 template <class T>
 std::string encode(const T& value);
 /// @throws malformed_frame
@@ -98,36 +98,37 @@
     duration heartbeat_timeout = std::chrono::milliseconds(400);
     duration connect_timeout = std::chrono::milliseconds(300);
     duration redial_delay = std::chrono::milliseconds(50);
-    duration unacknowledged_limit = std::chrono::seconds(3); ///< a peer that acknowledges nothing is gone
+    duration unacknowledged_limit =
+        std::chrono::seconds(3); ///< closes a connection on which the peer acknowledges no data for this long
     std::size_t max_unsent_bytes = 32 * 1024 * 1024;
     std::size_t read_buffer_bytes = 16 * 1024;
-    /// Compresses what this end sends; the peer learns it from the hello.
+    /// Compresses what this side sends, which its hello announces to the peer.
     bool compress = false;
-    /// False for links of which most are idle: the dialling end sends heartbeats and judges silence only
-    /// while requests are pending, and the accepting end answers each heartbeat.
+    /// False for links that are mostly idle: the dialling side sends heartbeats and detects silence only
+    /// while requests are pending, and the accepting side replies to each heartbeat.
     bool heartbeat_when_idle = true;
 };
 
-/// Who is at the other end, from its hello.
+/// Identity of a peer, from its hello.
 struct peer_identity {
     instance_id id;
     std::string data_center;
     auto operator<=>(const peer_identity&) const = default;
 };
 
-/// Why a request over a link got no reply.
+/// Why a request got no reply.
 enum class link_failure : std::uint8_t {
-    not_sent, ///< no byte of the request was handed to the socket: the peer cannot have seen it
-    lost,     ///< the link failed after the request may have been sent
+    not_sent, ///< no byte of it was written to the socket, so the peer cannot have received it
+    lost,     ///< the link failed when the request may have been sent
     timeout,
 };
 
 struct reply {
     std::optional<frame> answer;
-    link_failure failure = link_failure::not_sent; ///< when there is no answer
+    link_failure failure = link_failure::not_sent; ///< valid without an answer
 };
 
-/// One connection that was accepted or dialled. All members are called on its io_context's thread.
+/// A connection, accepted or dialled. All members must be called on the thread of its io_context.
 class connection : public std::enable_shared_from_this<connection> {
 public:
     virtual ~connection() = default;
@@ -136,10 +137,11 @@
     virtual bool open() const = 0;
 };
 
-/// A frame from a peer; reply through the connection with the same correlation number.
+/// Handles a frame from a peer. A reply is sent through the connection with the same correlation number.
 using frame_handler = std::function<void(const std::shared_ptr<connection>&, frame)>;
 
-/// Dials one peer, keeps the connection alive with heartbeats and dials anew when it falls silent.
+/// Keeps a connection to one peer: dials it, sends heartbeats, and dials again if the connection closes or
+/// the peer is silent.
 class peer_link {
 public:
     peer_link(asio::io_context& context, endpoint_address remote, peer_identity self, link_options settings,
@@ -148,14 +150,15 @@
     peer_link(const peer_link&) = delete;
     peer_link& operator=(const peer_link&) = delete;
 
-    /// Sends a request; @p done is called exactly once on the io_context's thread, unless the link is
-    /// destroyed first.
-    /// @returns the correlation number of the request; 0 when the link is down
+    /// Sends a request. @p done is called exactly once on the thread of the io_context, unless abandon() is
+    /// called or the link is destroyed first.
+    /// @returns the correlation number of the request; 0 if the link is down
     std::uint64_t request(frame outgoing, duration timeout, std::function<void(reply)> done);
-    /// Forgets a pending request; its @p done is not called.
+    /// Drops a pending request without calling its @p done.
     void abandon(std::uint64_t correlation);
-    /// Sends a one-way frame; dropped when the link is down.
+    /// Sends a one-way frame, or drops it if the link is down.
     void notify(frame outgoing);
+    /// True while a connection is open and the peer's hello has arrived.
     bool up() const;
     void on_state_change(std::function<void(bool up)> observer);
     std::uint64_t bytes_sent() const;
@@ -176,7 +179,7 @@
     peer_server& operator=(const peer_server&) = delete;
 
     void stop();
-    /// Called when a connection has ended; it may still be compared, not used.
+    /// @param observer called when a connection has closed; the connection may only be compared, not used
     void on_disconnect(std::function<void(const std::shared_ptr<connection>&)> observer);
     std::uint64_t bytes_sent() const;
     std::uint64_t bytes_received() const;
@@ -187,20 +190,20 @@
     std::shared_ptr<state> state_;
 };
 
-inline constexpr std::size_t max_datagram_bytes = 1400; ///< fits an Ethernet frame, so it is not fragmented
+inline constexpr std::size_t max_datagram_bytes = 1400; ///< fits into an Ethernet frame without fragmentation
 
-/// Unreliable datagrams, for membership probes.
+/// Sends and receives UDP datagrams.
 class datagram_channel {
 public:
     using handler = std::function<void(const endpoint_address& from, std::string_view payload)>;
 
-    /// @throws io_error when the address cannot be bound
+    /// @throws io_error if the address cannot be bound
     datagram_channel(asio::io_context& context, const endpoint_address& listen, handler on_datagram);
     ~datagram_channel();
     datagram_channel(const datagram_channel&) = delete;
     datagram_channel& operator=(const datagram_channel&) = delete;
 
-    /// Payloads above max_datagram_bytes are not sent.
+    /// Drops payloads larger than max_datagram_bytes.
     void send(const endpoint_address& to, std::string_view payload);
     std::uint64_t bytes_sent() const;
     std::uint64_t bytes_received() const;
--- a/src/transport/compression.cpp
+++ b/src/transport/compression.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-// A window of 4 KiB holds the headers of the last requests. One direction takes 24 KiB of memory to compress
-// and 11 KiB to expand, against 256 and 39 KiB with zlib's defaults; an entry may have a link to each other
-// entry.
+// A window of 4 KiB holds the headers of recent requests. With it, compressing one direction takes 24 KiB of
+// memory and expanding it 11 KiB, instead of 256 and 39 KiB with zlib's defaults. This matters since an entry
+// may have a link to every other entry.
 constexpr int window_bits = 12;
 constexpr int memory_level = 4;
 constexpr std::size_t block_bytes = 4 * 1024;
 
 Bytef* input_of(std::string_view bytes) {
-    // zlib's input pointer is not const unless ZLIB_CONST is defined; it does not write there.
+    // zlib declares its input pointer const only with ZLIB_CONST, but does not write through it.
     // NOLINTNEXTLINE(cppcoreguidelines-pro-type-const-cast,cppcoreguidelines-pro-type-reinterpret-cast)
     return reinterpret_cast<Bytef*>(const_cast<char*>(bytes.data()));
 }
@@ -27,12 +27,12 @@
 
 } // namespace
 
-void deflater::end::operator()(z_stream* it) const noexcept {
+void deflater::deleter::operator()(z_stream* it) const noexcept {
     ::deflateEnd(it);
     delete it; // NOLINT(cppcoreguidelines-owning-memory)
 }
 
-void inflater::end::operator()(z_stream* it) const noexcept {
+void inflater::deleter::operator()(z_stream* it) const noexcept {
     ::inflateEnd(it);
     delete it; // NOLINT(cppcoreguidelines-owning-memory)
 }
--- a/src/transport/compression.h
+++ b/src/transport/compression.h
@@ -8,34 +8,33 @@
 
 namespace kingcupseam::transport {
 
-/// Compresses one direction of a link. Later frames refer to earlier ones, so repeated header names and hosts
-/// cost a few bytes each.
+/// Compresses one direction of a link as one stream, so that header names and hosts repeated from earlier
+/// frames take a few bytes each.
 class deflater {
 public:
     deflater();
-    /// Compressed form of @p bytes, complete enough for the peer to read all of them.
+    /// Compresses @p bytes and flushes, so that the peer can read all of them at once.
     std::string compress(std::string_view bytes);
 
 private:
-    struct end {
+    struct deleter {
         void operator()(z_stream* it) const noexcept;
     };
-    std::unique_ptr<z_stream, end> stream_;
+    std::unique_ptr<z_stream, deleter> stream_;
 };
 
-/// Reads what a deflater wrote.
+/// Expands the stream of a deflater.
 class inflater {
 public:
     inflater();
-    /// @throws malformed_frame when @p bytes are not the continuation of the stream, or expand to more than
-    /// @p limit bytes
+    /// @throws malformed_frame if @p bytes do not continue the stream, or expand to more than @p limit bytes
     std::string expand(std::string_view bytes, std::size_t limit);
 
 private:
-    struct end {
+    struct deleter {
         void operator()(z_stream* it) const noexcept;
     };
-    std::unique_ptr<z_stream, end> stream_;
+    std::unique_ptr<z_stream, deleter> stream_;
 };
 
 } // namespace kingcupseam::transport
--- a/src/transport/datagram.cpp
+++ b/src/transport/datagram.cpp
@@ -59,7 +59,7 @@
     if (ec || payload.size() > max_datagram_bytes) {
         return;
     }
-    // A datagram that cannot be sent now counts as lost; the protocol on top repeats it.
+    // A datagram that cannot be sent now counts as lost; the protocol that uses the channel resends it.
     state_->socket.send_to(asio::buffer(payload.data(), payload.size()), {ip, to.port}, 0, ec);
     state_->bytes_sent += ec ? 0 : payload.size();
 }
--- a/src/transport/frame.cpp
+++ b/src/transport/frame.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t length_bytes = 4;
 constexpr std::size_t rest_header_bytes = frame_header_bytes - length_bytes;
-// Above this many consumed bytes the buffer is compacted, so that a long-lived link does not grow.
+// The buffer is compacted above this many consumed bytes, so that it does not grow on a long-lived link.
 constexpr std::size_t compact_threshold = 64 * 1024;
 
 void append_big_endian(std::string& buf, std::uint64_t value, int bytes) {
--- a/src/transport/link.cpp
+++ b/src/transport/link.cpp
@@ -10,7 +10,7 @@
 struct peer_link::state : std::enable_shared_from_this<peer_link::state> {
     struct pending_request {
         std::function<void(reply)> done;
-        std::uint64_t position = 0; ///< of its frame in the connection's send queue
+        std::uint64_t position = 0; ///< of its frame among those sent on the connection
         std::multimap<time_point, std::uint64_t>::iterator deadline;
     };
 
@@ -28,12 +28,12 @@
     void on_reply(frame received);
     std::uint64_t request(frame outgoing, duration timeout, std::function<void(reply)> done);
     void abandon(std::uint64_t correlation);
-    void watch_silence();
+    void update_silence_detection();
     void fail_pending(std::uint64_t handed_to_socket);
     void arm_deadline();
     void expire(time_point now);
     void stop();
-    void set_up(bool value);
+    void set_is_up(bool value);
 
     asio::io_context& context;
     endpoint_address remote;
@@ -47,8 +47,8 @@
     std::multimap<time_point, std::uint64_t> deadlines;
     std::function<void(bool)> on_state_change;
     std::uint64_t next_correlation = 1;
-    std::uint64_t past_bytes_sent = 0;
-    std::uint64_t past_bytes_received = 0;
+    std::uint64_t closed_bytes_sent = 0;
+    std::uint64_t closed_bytes_received = 0;
     bool is_up = false;
     bool stopped = false;
 };
@@ -81,8 +81,8 @@
         return;
     }
     current = std::make_shared<stream_connection>(std::move(socket), self, settings,
-                                                  stream_connection::end::dialled);
-    current->start({[it = shared_from_this()] { it->set_up(true); },
+                                                  stream_connection::side::dialled);
+    current->start({[it = shared_from_this()] { it->set_is_up(true); },
                     [it = shared_from_this()](frame received) { it->on_reply(std::move(received)); },
                     [it = shared_from_this()](bool) { it->on_closed(); }});
 }
@@ -101,16 +101,16 @@
         return;
     }
     const auto closed = std::exchange(current, nullptr);
-    past_bytes_sent += closed->bytes_sent();
-    past_bytes_received += closed->bytes_received();
-    set_up(false);
+    closed_bytes_sent += closed->bytes_sent();
+    closed_bytes_received += closed->bytes_received();
+    set_is_up(false);
     fail_pending(closed->handed_to_socket());
     if (!stopped) {
         redial_later();
     }
 }
 
-void peer_link::state::set_up(bool value) {
+void peer_link::state::set_is_up(bool value) {
     if (is_up != value) {
         is_up = value;
         if (on_state_change) {
@@ -122,7 +122,7 @@
 void peer_link::state::on_reply(frame received) {
     const auto it = received.correlation == 0 ? pending.end() : pending.find(received.correlation);
     if (it == pending.end()) {
-        // Either a one-way frame, or a reply that came after its request timed out.
+        // Either a one-way frame, or a reply to a request that has timed out or was abandoned.
         if (received.correlation == 0 && on_frame && current) {
             on_frame(current, std::move(received));
         }
@@ -131,7 +131,7 @@
     const auto done = std::move(it->second.done);
     deadlines.erase(it->second.deadline);
     pending.erase(it);
-    watch_silence();
+    update_silence_detection();
     done({std::move(received), link_failure::lost});
 }
 
@@ -145,7 +145,7 @@
     const auto deadline = deadlines.emplace(steady_now() + timeout, correlation);
     pending.emplace(correlation, pending_request{std::move(done), current->queued() + 1, deadline});
     const bool earliest = deadline == deadlines.begin();
-    watch_silence();
+    update_silence_detection();
     current->send(std::move(outgoing));
     if (earliest) {
         arm_deadline();
@@ -158,13 +158,13 @@
     if (it != pending.end()) {
         deadlines.erase(it->second.deadline);
         pending.erase(it);
-        watch_silence();
+        update_silence_detection();
     }
 }
 
-void peer_link::state::watch_silence() {
+void peer_link::state::update_silence_detection() {
     if (!settings.heartbeat_when_idle && current) {
-        current->watch_silence(!pending.empty());
+        current->set_silence_detection(!pending.empty());
     }
 }
 
@@ -196,7 +196,7 @@
         expired.push_back(std::move(it->second.done));
         pending.erase(it);
     }
-    watch_silence();
+    update_silence_detection();
     for (const auto& it : expired) {
         it({std::nullopt, link_failure::timeout});
     }
@@ -253,11 +253,11 @@
 }
 
 std::uint64_t peer_link::bytes_sent() const {
-    return state_->past_bytes_sent + (state_->current ? state_->current->bytes_sent() : 0);
+    return state_->closed_bytes_sent + (state_->current ? state_->current->bytes_sent() : 0);
 }
 
 std::uint64_t peer_link::bytes_received() const {
-    return state_->past_bytes_received + (state_->current ? state_->current->bytes_received() : 0);
+    return state_->closed_bytes_received + (state_->current ? state_->current->bytes_received() : 0);
 }
 
 } // namespace kingcupseam::transport
--- a/src/transport/server.cpp
+++ b/src/transport/server.cpp
@@ -22,8 +22,8 @@
     frame_handler on_frame;
     std::function<void(const std::shared_ptr<connection>&)> on_disconnect;
     std::set<std::shared_ptr<stream_connection>> connections;
-    std::uint64_t past_bytes_sent = 0;
-    std::uint64_t past_bytes_received = 0;
+    std::uint64_t closed_bytes_sent = 0;
+    std::uint64_t closed_bytes_received = 0;
     std::uint64_t malformed = 0;
     bool stopped = false;
 };
@@ -55,7 +55,7 @@
 
 void peer_server::state::add(asio::ip::tcp::socket socket) {
     const auto added = std::make_shared<stream_connection>(std::move(socket), self, settings,
-                                                           stream_connection::end::accepted);
+                                                           stream_connection::side::accepted);
     connections.insert(added);
     const std::weak_ptr<stream_connection> weak = added;
     added->start({[] {},
@@ -67,8 +67,8 @@
                   [it = shared_from_this(), weak](bool was_malformed) {
                       it->malformed += was_malformed ? 1 : 0;
                       if (const auto closed = weak.lock()) {
-                          it->past_bytes_sent += closed->bytes_sent();
-                          it->past_bytes_received += closed->bytes_received();
+                          it->closed_bytes_sent += closed->bytes_sent();
+                          it->closed_bytes_received += closed->bytes_received();
                           it->connections.erase(closed);
                           if (it->on_disconnect && !it->stopped) {
                               it->on_disconnect(closed);
@@ -107,7 +107,7 @@
 }
 
 std::uint64_t peer_server::bytes_sent() const {
-    std::uint64_t total = state_->past_bytes_sent;
+    std::uint64_t total = state_->closed_bytes_sent;
     for (const auto& it : state_->connections) {
         total += it->bytes_sent();
     }
@@ -115,7 +115,7 @@
 }
 
 std::uint64_t peer_server::bytes_received() const {
-    std::uint64_t total = state_->past_bytes_received;
+    std::uint64_t total = state_->closed_bytes_received;
     for (const auto& it : state_->connections) {
         total += it->bytes_received();
     }
--- a/src/transport/stream_connection.cpp
+++ b/src/transport/stream_connection.cpp
@@ -23,9 +23,9 @@
 } // namespace
 
 stream_connection::stream_connection(asio::ip::tcp::socket socket, peer_identity self,
-                                     const link_options& settings, end own_end)
+                                     const link_options& settings, side own_side)
     : socket_(std::move(socket)), heartbeat_timer_(socket_.get_executor()), self_identity_(std::move(self)),
-      settings_(settings), end_(own_end), watching_(settings.heartbeat_when_idle),
+      settings_(settings), side_(own_side), detects_silence_(settings.heartbeat_when_idle),
       input_(settings.read_buffer_bytes) {}
 
 void stream_connection::start(handlers callbacks) {
@@ -36,18 +36,18 @@
     last_received_ = steady_now();
     limit_unacknowledged(socket_, settings_.unacknowledged_limit);
     send({frame_type::hello, 0, hello_payload(self_identity_, settings_.compress)});
-    if (watching_) {
+    if (detects_silence_) {
         schedule_heartbeat();
     }
     read();
 }
 
-void stream_connection::watch_silence(bool waiting) {
-    if (waiting == watching_ || !open_) {
+void stream_connection::set_silence_detection(bool enabled) {
+    if (enabled == detects_silence_ || !open_) {
         return;
     }
-    watching_ = waiting;
-    if (watching_) {
+    detects_silence_ = enabled;
+    if (detects_silence_) {
         last_received_ = steady_now();
         schedule_heartbeat();
     } else {
@@ -65,7 +65,8 @@
         return;
     }
     if (pending_.size() + outgoing.payload.size() > settings_.max_unsent_bytes) {
-        // The peer does not read: without this bound its backlog would fill this instance's memory.
+        // The peer does not read. Without this limit the unsent frames would fill the memory of this
+        // instance.
         fail(false);
         return;
     }
@@ -77,14 +78,14 @@
 }
 
 void stream_connection::write() {
-    // Frames that were queued during the last write leave together in one system call.
+    // Frames queued during the last write are sent together in one system call.
     if (deflater_) {
         writing_ = deflater_->compress(pending_);
         pending_.clear();
     } else {
         writing_.swap(pending_);
         if (settings_.compress) {
-            deflater_.emplace(); // the hello went out as it is
+            deflater_.emplace(); // the hello itself is not compressed
         }
     }
     handed_to_socket_ = queued_;
@@ -119,7 +120,7 @@
     last_received_ = steady_now();
     try {
         feed(std::string_view(input_.data(), n));
-        take_frames();
+        handle_frames();
     } catch (const malformed_frame&) {
         fail(true);
         return;
@@ -137,23 +138,23 @@
     }
 }
 
-void stream_connection::take_frames() {
+void stream_connection::handle_frames() {
     while (open_) {
         auto received = decoder_.next();
         if (!received) {
             return;
         }
-        if (!greeted_) {
-            take_hello(*received);
+        if (!hello_received_) {
+            handle_hello(*received);
         } else if (received->type != frame_type::heartbeat) {
             callbacks_.on_frame(std::move(*received));
-        } else if (!settings_.heartbeat_when_idle && end_ == end::accepted) {
+        } else if (!settings_.heartbeat_when_idle && side_ == side::accepted) {
             send({frame_type::heartbeat, 0, {}});
         }
     }
 }
 
-void stream_connection::take_hello(const frame& received) {
+void stream_connection::handle_hello(const frame& received) {
     if (received.type != frame_type::hello) {
         throw malformed_frame("the first frame is not hello");
     }
@@ -163,9 +164,9 @@
                               " is not supported");
     }
     peer_ = {{hello.instance, static_cast<std::uint64_t>(hello.incarnation)}, hello.data_center};
-    greeted_ = true;
+    hello_received_ = true;
     if (hello.compressed) {
-        // What came behind the hello in the same read belongs to the compressed stream.
+        // Bytes after the hello in the same read belong to the compressed stream.
         inflater_.emplace();
         feed(decoder_.take_rest());
     }
@@ -184,7 +185,7 @@
 void stream_connection::on_heartbeat_due() {
     const time_point now = steady_now();
     if (now - last_received_ > settings_.heartbeat_timeout) {
-        // An open connection can go silent for good while new ones work, so it is closed and dialled anew.
+        // An open connection can stop working while new ones work, so it is closed and dialled again.
         fail(false);
         return;
     }
@@ -202,7 +203,7 @@
     asio::error_code ec;
     heartbeat_timer_.cancel(ec);
     socket_.close(ec);
-    // The callbacks hold the owner; releasing them here breaks the reference cycle.
+    // The callbacks hold a reference to the owner; releasing them breaks the cycle.
     const auto callbacks = std::exchange(callbacks_, {});
     if (callbacks.on_closed) {
         callbacks.on_closed(malformed);
--- a/src/transport/stream_connection.h
+++ b/src/transport/stream_connection.h
@@ -10,32 +10,32 @@
 
 namespace kingcupseam::transport {
 
-/// A TCP stream of frames with hello, heartbeats and silence detection; used by both link and server.
+/// A TCP stream of frames with hello, heartbeats and silence detection, for peer_link and peer_server.
 class stream_connection final : public connection {
 public:
     struct handlers {
         std::function<void()> on_ready;                ///< the peer's hello has arrived
-        std::function<void(frame)> on_frame;           ///< any frame but hello and heartbeat
+        std::function<void(frame)> on_frame;           ///< any frame except hello and heartbeat
         std::function<void(bool malformed)> on_closed; ///< called once
     };
 
-    enum class end : std::uint8_t { dialled, accepted };
+    enum class side : std::uint8_t { dialled, accepted };
 
     stream_connection(asio::ip::tcp::socket socket, peer_identity self, const link_options& settings,
-                      end own_end);
+                      side own_side);
 
-    /// Sends hello and starts reading.
+    /// Sends the hello and starts to read.
     void start(handlers callbacks);
     void close();
-    /// Where heartbeats stop on idle links: whether this end waits for something.
-    void watch_silence(bool waiting);
+    /// Starts or stops heartbeats and silence detection, for links without heartbeats when idle.
+    void set_silence_detection(bool enabled);
 
     void send(frame outgoing) override;
     const peer_identity& peer() const override { return peer_; }
     bool open() const override { return open_; }
 
-    /// Number of frames handed to send() so far, and of those handed to the socket: a frame with a higher
-    /// position than the latter cannot have reached the peer.
+    /// Number of frames passed to send() so far, and of those passed to the socket. A frame beyond the latter
+    /// cannot have reached the peer.
     std::uint64_t queued() const noexcept { return queued_; }
     std::uint64_t handed_to_socket() const noexcept { return handed_to_socket_; }
     std::uint64_t bytes_sent() const noexcept { return bytes_sent_; }
@@ -48,8 +48,8 @@
     void read();
     void feed(std::string_view bytes);
     void on_read(const asio::error_code& ec, std::size_t n);
-    void take_frames();
-    void take_hello(const frame& received);
+    void handle_frames();
+    void handle_hello(const frame& received);
     void write();
     void on_written(const asio::error_code& ec, std::size_t n);
     void schedule_heartbeat();
@@ -61,12 +61,12 @@
     peer_identity self_identity_;
     peer_identity peer_;
     link_options settings_;
-    end end_;
-    bool watching_; ///< sends heartbeats and closes after silence
+    side side_;
+    bool detects_silence_; ///< sends heartbeats, and closes if the peer is silent
     handlers callbacks_;
     frame_decoder decoder_;
-    std::optional<deflater> deflater_; ///< after the own hello
-    std::optional<inflater> inflater_; ///< after the peer's hello
+    std::optional<deflater> deflater_; ///< set after this side's hello was sent
+    std::optional<inflater> inflater_; ///< set after the peer's hello has arrived
     std::vector<char> input_;
     std::string pending_;
     std::string writing_;
@@ -77,7 +77,7 @@
     std::uint64_t bytes_sent_ = 0;
     std::uint64_t bytes_received_ = 0;
     bool open_ = false;
-    bool greeted_ = false;
+    bool hello_received_ = false;
 };
 
 } // namespace kingcupseam::transport
