--- a/tests/ledger/simulation.h
+++ b/tests/ledger/simulation.h
@@ -67,7 +67,7 @@
         return id;
     }
 
-    /// Makes @p name the gate at a new epoch. The former gate is not told and continues.
+    /// Makes @p name the gate at a new epoch. The former gate is not informed and continues.
     void appoint(const std::string& name) {
         current_ = name;
         gates_.at(name).epoch = ++epoch_;
