--- a/include/kingcupseam/ownership.h
+++ b/include/kingcupseam/ownership.h
@@ -17,7 +17,7 @@
 using epoch_number = std::uint64_t;
 inline constexpr std::uint32_t no_upstream = 0xffffffff;
 /// Value of shard_row::next while this data centre is not the home of the shard.
-inline constexpr std::uint32_t leaving = 0xfffffffe;
+inline constexpr std::uint32_t placed_elsewhere = 0xfffffffe;
 
 /// Epoch of a change: the generation of the group above 40 bits of log index.
 constexpr epoch_number make_epoch(std::uint64_t generation, std::uint64_t index) {
@@ -111,7 +111,7 @@
     upstream_row row;
     std::uint32_t shards =
         0; ///< number of shards of the service; only the first registration of a service sets it
-    std::set<std::uint32_t> homes; ///< unused when empty: all shards of the service are at home here
+    std::set<std::uint32_t> placed_shards; ///< unused when empty: all shards of the service are at home here
 };
 struct set_condition {
     std::string upstream;
@@ -142,7 +142,7 @@
     std::string to;
 };
 /// Shards that this data centre is home to; the others lose their owner here once their grants have ended.
-struct set_homes {
+struct set_placement {
     std::string service;
     std::vector<std::uint32_t> shards;
 };
@@ -150,8 +150,8 @@
     std::uint32_t group = 0;
     ledger_group replicas;
 };
-using command = std::variant<register_upstream, set_condition, set_gate, begin_move, complete_move, set_homes,
-                             set_ledger_group>;
+using command = std::variant<register_upstream, set_condition, set_gate, begin_move, complete_move,
+                             set_placement, set_ledger_group>;
 
 std::string encode(const command& change);
 /// @throws invalid_input
--- a/src/app/instance/data_center_leader.cpp
+++ b/src/app/instance/data_center_leader.cpp
@@ -235,7 +235,7 @@
         if (rows.services.count(service) == 0 || (it != proposed_homes_.end() && it->second == homes)) {
             continue;
         }
-        ownership::set_homes change{service, {}};
+        ownership::set_placement change{service, {}};
         for (std::uint32_t shard = 0; shard < homes.homes.size(); ++shard) {
             const auto home = static_cast<std::size_t>(homes.homes[shard]);
             if (homes.data_centers.at(home) == shared_.settings.data_center) {
@@ -295,7 +295,7 @@
     // No shard is at home here until the global group says so: the first index past the last shard marks
     // that.
     change.shards = shards;
-    change.homes = {shards};
+    change.placed_shards = {shards};
     group_->propose(ownership::encode(ownership::command(change)),
                     [done = std::move(done)](const auto& result) { done(result.has_value()); });
 }
--- a/src/app/instance/operator_api.cpp
+++ b/src/app/instance/operator_api.cpp
@@ -99,7 +99,7 @@
         for (const auto& it : service.shards) {
             if (it.owner < owned.size()) {
                 ++owned[it.owner];
-            } else if (it.next != ownership::leaving) {
+            } else if (it.next != ownership::placed_elsewhere) {
                 ++without_owner;
             }
         }
--- a/src/ownership/assignment_change.h
+++ b/src/ownership/assignment_change.h
@@ -14,7 +14,7 @@
     bool apply(const set_gate& change);
     bool apply(const begin_move& change);
     bool apply(const complete_move& change);
-    bool apply(const set_homes& change);
+    bool apply(const set_placement& change);
     bool apply(const set_ledger_group& change);
 
 private:
--- a/src/ownership/command_codec.cpp
+++ b/src/ownership/command_codec.cpp
@@ -55,7 +55,7 @@
     wire::RegisterUpstream value;
     value.row = to_wire(change.row);
     value.shards = static_cast<std::int32_t>(change.shards);
-    value.homes = to_steps(change.homes);
+    value.homes = to_steps(change.placed_shards);
     out.__set_register_upstream(value);
 }
 void fill(wire::OwnershipCommand& out, const set_condition& change) {
@@ -79,7 +79,7 @@
 void fill(wire::OwnershipCommand& out, const complete_move& change) {
     out.__set_complete_move(to_wire_move(change));
 }
-void fill(wire::OwnershipCommand& out, const set_homes& change) {
+void fill(wire::OwnershipCommand& out, const set_placement& change) {
     wire::SetHomes value;
     value.service_name = change.service;
     value.shards = to_steps(change.shards);
@@ -125,7 +125,7 @@
         found.emplace_back(from_wire_move<complete_move>(in.complete_move));
     }
     if (in.__isset.set_homes) {
-        found.emplace_back(set_homes{in.set_homes.service_name, from_steps(in.set_homes.shards)});
+        found.emplace_back(set_placement{in.set_homes.service_name, from_steps(in.set_homes.shards)});
     }
     if (in.__isset.set_ledger_group) {
         found.emplace_back(set_ledger_group{static_cast<std::uint32_t>(in.set_ledger_group.group),
--- a/src/ownership/move_change.cpp
+++ b/src/ownership/move_change.cpp
@@ -23,7 +23,7 @@
 // acknowledged.
 bool assignment_change::begin(shard_row& row, std::uint32_t to) {
     const bool moving = row.next != no_upstream;
-    if (row.next == leaving || row.next == to || (!moving && row.owner == to)) {
+    if (row.next == placed_elsewhere || row.next == to || (!moving && row.owner == to)) {
         return false;
     }
     row.next = to;
@@ -69,7 +69,7 @@
     if (row.next != to) {
         return false;
     }
-    if (to == leaving) {
+    if (to == placed_elsewhere) {
         const bool owned = row.owner != no_upstream;
         row.owner = no_upstream;
         row.epoch = owned ? epoch_ : row.epoch;
@@ -87,7 +87,7 @@
         return false;
     }
     const auto& shard = service.shards[shard_of(key, static_cast<std::uint32_t>(service.shards.size()))];
-    if (to == leaving || (shard.owner == to && shard.next == no_upstream)) {
+    if (to == placed_elsewhere || (shard.owner == to && shard.next == no_upstream)) {
         service.hot_keys.erase(it);
     }
     return true;
@@ -95,7 +95,7 @@
 
 bool assignment_change::apply(const complete_move& change) {
     const auto service = rows_.services.find(change.service);
-    const auto to = change.to.empty() ? leaving : target(change.service, change.to);
+    const auto to = change.to.empty() ? placed_elsewhere : target(change.service, change.to);
     if (service == rows_.services.end() || to == no_upstream) {
         return false;
     }
@@ -112,27 +112,27 @@
 }
 
 bool assignment_change::leave(shard_row& row) {
-    if (row.next == leaving) {
+    if (row.next == placed_elsewhere) {
         return false;
     }
     if (row.next == no_upstream) {
         row.epoch = epoch_;
         raise(row.owner);
     }
-    row.next = leaving;
+    row.next = placed_elsewhere;
     return true;
 }
 
 // A shard that comes back before its grant has ended moves to its own owner, which waits for that end.
 bool assignment_change::stay(shard_row& row) {
-    if (row.next != leaving) {
+    if (row.next != placed_elsewhere) {
         return false;
     }
     row.next = row.owner;
     return true;
 }
 
-bool assignment_change::apply(const set_homes& change) {
+bool assignment_change::apply(const set_placement& change) {
     const auto found = rows_.services.find(change.service);
     if (found == rows_.services.end()) {
         return false;
--- a/src/ownership/plan_shards.cpp
+++ b/src/ownership/plan_shards.cpp
@@ -43,14 +43,14 @@
 void complete_moves(const planning& input, const service_rows& service, move_list& moves) {
     const auto& upstreams = input.rows.upstreams;
     const auto target = [&](const shard_row& row, std::string& to) {
-        if (row.next == no_upstream || (row.next == leaving && row.owner == no_upstream) ||
+        if (row.next == no_upstream || (row.next == placed_elsewhere && row.owner == no_upstream) ||
             !input.grant_ended(row)) {
             return false;
         }
         if (row.next < upstreams.size() && upstreams[row.next].condition == upstream_status::lost) {
             return false;
         }
-        to = row.next == leaving ? std::string() : upstreams[row.next].name;
+        to = row.next == placed_elsewhere ? std::string() : upstreams[row.next].name;
         return true;
     };
     std::string to;
@@ -85,7 +85,7 @@
     result.at_rest.resize(upstreams.size());
     for (std::uint32_t n = 0; n < service.shards.size(); ++n) {
         const auto& row = service.shards[n];
-        result.total += row.next == leaving ? 0 : 1;
+        result.total += row.next == placed_elsewhere ? 0 : 1;
         const auto index = input.holder(row);
         if (index < position.size() && position[index] < upstreams.size()) {
             ++result.counts[position[index]];
--- a/src/ownership/planner.cpp
+++ b/src/ownership/planner.cpp
@@ -72,12 +72,12 @@
 }
 
 std::uint32_t planning::holder(const shard_row& row) const {
-    return row.next == no_upstream ? row.owner : (row.next == leaving ? no_upstream : row.next);
+    return row.next == no_upstream ? row.owner : (row.next == placed_elsewhere ? no_upstream : row.next);
 }
 
 bool planning::movable(const shard_row& row) const {
     const auto index = holder(row);
-    if (row.next == leaving || (index < weights.size() && weights[index] > 0)) {
+    if (row.next == placed_elsewhere || (index < weights.size() && weights[index] > 0)) {
         return false;
     }
     const bool waits_for_grant = row.next == no_upstream && index < rows.upstreams.size() &&
--- a/src/ownership/register_change.cpp
+++ b/src/ownership/register_change.cpp
@@ -61,9 +61,9 @@
     }
     auto& shards = rows_.services[change.row.service].shards;
     shards.resize(change.shards);
-    if (!change.homes.empty()) {
+    if (!change.placed_shards.empty()) {
         for (std::uint32_t n = 0; n < change.shards; ++n) {
-            shards[n].next = change.homes.count(n) > 0 ? no_upstream : leaving;
+            shards[n].next = change.placed_shards.count(n) > 0 ? no_upstream : placed_elsewhere;
         }
     }
     return true;
--- a/src/ownership/table_codec.cpp
+++ b/src/ownership/table_codec.cpp
@@ -99,7 +99,7 @@
 
 void check_indexes(const table& rows) {
     const auto check = [n = rows.upstreams.size()](const shard_row& it) {
-        if (!known_index(it.owner, n) || (it.next != leaving && !known_index(it.next, n))) {
+        if (!known_index(it.owner, n) || (it.next != placed_elsewhere && !known_index(it.next, n))) {
             throw invalid_input(table_source, "index", "unknown upstream index");
         }
     };
--- a/tests/ownership/assignment_test.cpp
+++ b/tests/ownership/assignment_test.cpp
@@ -157,7 +157,7 @@
     command_log it;
     it.apply(announce("a", 1));
     it.own("a", {0, 1});
-    REQUIRE(it.apply(set_homes{"registry", {0}}));
+    REQUIRE(it.apply(set_placement{"registry", {0}}));
     CHECK(it.rows().owner_of("registry", 0, "k")->name == "a");
     CHECK(it.rows().owner_of("registry", 1, "k") == nullptr);
     SUBCASE("the owner is taken only once its grant has ended") {
@@ -167,7 +167,7 @@
         CHECK_FALSE(it.apply(begin_move{"registry", {1}, {}, "a"}));
     }
     SUBCASE("a home that returns early still waits for the end of the former grant") {
-        REQUIRE(it.apply(set_homes{"registry", {0, 1}}));
+        REQUIRE(it.apply(set_placement{"registry", {0, 1}}));
         CHECK(it.rows().owner_of("registry", 1, "k") == nullptr);
         CHECK(it.apply(complete_move{"registry", {1}, {}, "a"}));
         CHECK(it.rows().owner_of("registry", 1, "k")->name == "a");
@@ -203,7 +203,7 @@
             change = begin_move{"registry", {shard, 7 - shard}, {key_in(shard)}, name};
             break;
         case 4:
-            change = set_homes{"registry", {0, 1, 2, 3, shard}};
+            change = set_placement{"registry", {0, 1, 2, 3, shard}};
             break;
         case 5:
             change = set_ledger_group{shard, {{"i1", "i2"}, {name}}};
