--- a/benchmark/admission_floods.cpp
+++ b/benchmark/admission_floods.cpp
@@ -37,7 +37,7 @@
     dual_price_queue(const queue_options& settings, double rate)
         : slots_(settings.slots), ranks_(settings.ranks), rate_(rate) {}
 
-    admit_result admit(const ticket& request, time_point now) override {
+    admit_result admit(const queued_request& request, time_point now) override {
         advance(now);
         const auto n = std::size_t(request.priority);
         if (waiting_[n].size() >= ranks_[n].max_waiting) {
@@ -52,7 +52,7 @@
         waiting_[n].push_back(request);
         return admit_result::admitted;
     }
-    std::optional<ticket> next(time_point now, std::vector<ticket>& expired) override {
+    std::optional<queued_request> next(time_point now, std::vector<queued_request>& expired) override {
         advance(now);
         for (auto& line : waiting_) {
             while (!line.empty() && line.front().deadline <= now) {
@@ -64,7 +64,7 @@
         if (double(running_.size()) >= slots_ || chosen == rank_count) {
             return std::nullopt;
         }
-        const ticket result = waiting_[chosen].front();
+        const queued_request result = waiting_[chosen].front();
         waiting_[chosen].pop_front();
         running_[result.id] = chosen;
         ++running_of_[chosen];
@@ -84,7 +84,7 @@
         return std::uint32_t(waiting_[std::size_t(value)].size());
     }
     bool saturated(rank /*value*/, duration /*deadline*/, time_point /*now*/) const override { return false; }
-    std::vector<ticket> drain() override { return {}; }
+    std::vector<queued_request> drain() override { return {}; }
 
 private:
     static constexpr std::array<double, rank_count> weight{3, 2, 1};
@@ -132,7 +132,7 @@
     std::array<rank_policy, rank_count> ranks_;
     double rate_;
     double mean_ = 10'000;
-    std::array<std::deque<ticket>, rank_count> waiting_;
+    std::array<std::deque<queued_request>, rank_count> waiting_;
     std::array<double, rank_count> price_{};
     std::array<double, rank_count> usage_{};
     std::array<int, rank_count> running_of_{};
--- a/include/kingcupseam/admission.h
+++ b/include/kingcupseam/admission.h
@@ -14,13 +14,13 @@
 namespace kingcupseam::admission {
 
 /// One waiting request, identified by a number that its owner chose.
-struct ticket {
+struct queued_request {
     std::uint64_t id = 0;
     rank priority = rank::urgent;
     time_point arrived;
     time_point deadline;
     bool exclusive = false; ///< a crash suspect: runs only while nothing else runs on the upstream
-    auto operator<=>(const ticket&) const = default;
+    auto operator<=>(const queued_request&) const = default;
 };
 
 struct rank_policy {
@@ -48,11 +48,11 @@
 
     /// Refuses at once what cannot meet its deadline, judged by the work ahead of it and the observed service
     /// time.
-    virtual admit_result admit(const ticket& request, time_point now) = 0;
+    virtual admit_result admit(const queued_request& request, time_point now) = 0;
     /// The next request to dispatch while a slot is free; requests whose deadline has passed go to @p
     /// expired. Call it again after every arrival and end of a request, and on a timer: a fractional slot
     /// becomes free by the passing of time alone.
-    virtual std::optional<ticket> next(time_point now, std::vector<ticket>& expired) = 0;
+    virtual std::optional<queued_request> next(time_point now, std::vector<queued_request>& expired) = 0;
     /// A dispatched request ended after @p service_time; empty when it did not run.
     virtual void finished(std::uint64_t id, std::optional<duration> service_time, time_point now) = 0;
     /// Removes a waiting request. @returns false when it is not waiting
@@ -66,7 +66,7 @@
     /// True when a request of the rank that arrives now would be refused; entries then refuse it at the edge.
     virtual bool saturated(rank value, duration deadline, time_point now) const = 0;
     /// Takes everything that waits, for handing over or refusing.
-    virtual std::vector<ticket> drain() = 0;
+    virtual std::vector<queued_request> drain() = 0;
 };
 
 /// Urgent first, with a guaranteed share of slot time per rank.
--- a/src/admission/fifo_queue.cpp
+++ b/src/admission/fifo_queue.cpp
@@ -14,7 +14,7 @@
         set_policy(settings.ranks);
     }
 
-    admit_result admit(const ticket& request, time_point now) override {
+    admit_result admit(const queued_request& request, time_point now) override {
         if (waiting_.size() >= max_waiting_) {
             return admit_result::queue_full;
         }
@@ -25,7 +25,7 @@
         return admit_result::admitted;
     }
 
-    std::optional<ticket> next(time_point now, std::vector<ticket>& expired) override {
+    std::optional<queued_request> next(time_point now, std::vector<queued_request>& expired) override {
         advance(now);
         while (!waiting_.empty() && waiting_.front().deadline <= now) {
             expired.push_back(waiting_.front());
@@ -35,7 +35,7 @@
             (waiting_.front().exclusive && !running_.empty())) {
             return std::nullopt;
         }
-        const ticket result = waiting_.front();
+        const queued_request result = waiting_.front();
         waiting_.pop_front();
         running_[result.id] = result.exclusive;
         exclusive_running_ = result.exclusive;
@@ -76,8 +76,8 @@
     bool saturated(rank /*value*/, duration /*deadline*/, time_point /*now*/) const override {
         return waiting_.size() >= max_waiting_;
     }
-    std::vector<ticket> drain() override {
-        std::vector<ticket> all(waiting_.begin(), waiting_.end());
+    std::vector<queued_request> drain() override {
+        std::vector<queued_request> all(waiting_.begin(), waiting_.end());
         waiting_.clear();
         return all;
     }
@@ -93,7 +93,7 @@
 
     slot_meter meter_;
     std::size_t max_waiting_ = 0;
-    std::deque<ticket> waiting_;
+    std::deque<queued_request> waiting_;
     std::unordered_map<std::uint64_t, bool> running_;
     bool exclusive_running_ = false;
     bool started_ = false;
--- a/src/admission/priority_queue.cpp
+++ b/src/admission/priority_queue.cpp
@@ -40,7 +40,7 @@
         : ranks_(settings.ranks), meter_(settings.slots),
           overall_(settings.initial_service_time), estimates_{overall_, overall_, overall_} {}
 
-    admit_result admit(const ticket& request, time_point now) override {
+    admit_result admit(const queued_request& request, time_point now) override {
         advance(now);
         const auto value = request.priority;
         if (waiting_[index_of(value)].size() >= ranks_[index_of(value)].max_waiting) {
@@ -53,7 +53,7 @@
         return admit_result::admitted;
     }
 
-    std::optional<ticket> next(time_point now, std::vector<ticket>& expired) override {
+    std::optional<queued_request> next(time_point now, std::vector<queued_request>& expired) override {
         advance(now);
         drop_expired(now, expired);
         if (exclusive_running_ || !meter_.free(running())) {
@@ -69,7 +69,7 @@
         if (line.front().exclusive && !running_.empty()) {
             return std::nullopt;
         }
-        const ticket result = line.front();
+        const queued_request result = line.front();
         line.pop_front();
         start(result);
         return result;
@@ -117,8 +117,8 @@
                !can_finish(value, now + deadline, now);
     }
 
-    std::vector<ticket> drain() override {
-        std::vector<ticket> all;
+    std::vector<queued_request> drain() override {
+        std::vector<queued_request> all;
         for (auto& line : waiting_) {
             all.insert(all.end(), line.begin(), line.end());
             line.clear();
@@ -190,7 +190,7 @@
         return owed ? owed : urgent;
     }
 
-    void start(const ticket& chosen) {
+    void start(const queued_request& chosen) {
         const auto n = index_of(chosen.priority);
         const double expected = service_of(n);
         charge(n, expected, chosen.exclusive);
@@ -199,10 +199,10 @@
         exclusive_running_ = chosen.exclusive;
     }
 
-    void drop_expired(time_point now, std::vector<ticket>& expired) {
+    void drop_expired(time_point now, std::vector<queued_request>& expired) {
         const bool sweep = now - last_sweep_ >= sweep_period;
         last_sweep_ = sweep ? now : last_sweep_;
-        const auto passed = [&](const ticket& it) { return it.deadline <= now; };
+        const auto passed = [&](const queued_request& it) { return it.deadline <= now; };
         for (auto& line : waiting_) {
             while (!line.empty() && passed(line.front())) {
                 expired.push_back(line.front());
@@ -262,7 +262,7 @@
     slot_meter meter_;
     service_estimate overall_;
     std::array<service_estimate, rank_count> estimates_;
-    std::array<std::deque<ticket>, rank_count> waiting_;
+    std::array<std::deque<queued_request>, rank_count> waiting_;
     std::array<std::uint32_t, rank_count> running_of_{};
     std::array<double, rank_count> credit_{};
     std::array<double, rank_count> usage_{};
--- a/src/app/instance/upstream_gate.cpp
+++ b/src/app/instance/upstream_gate.cpp
@@ -121,8 +121,8 @@
 void upstream_gate::admit(const gate_request_ptr& request) {
     const time_point now = steady_now();
     request->ticket = next_ticket_++;
-    const admission::ticket ticket{request->ticket, request->priority(), request->arrived, request->deadline,
-                                   request->exclusive};
+    const admission::queued_request ticket{request->ticket, request->priority(), request->arrived,
+                                           request->deadline, request->exclusive};
     switch (queue_->admit(ticket, now)) {
     case admission::admit_result::admitted:
         waiting_.emplace(request->ticket, request);
@@ -141,7 +141,7 @@
     if (!may_dispatch(now)) {
         return;
     }
-    std::vector<admission::ticket> expired;
+    std::vector<admission::queued_request> expired;
     while (const auto ticket = queue_->next(now, expired)) {
         const auto it = waiting_.find(ticket->id);
         const auto request = it->second;
--- a/tests/admission/flood.h
+++ b/tests/admission/flood.h
@@ -9,7 +9,7 @@
 namespace kingcupseam::test {
 
 using admission::queue;
-using admission::ticket;
+using admission::queued_request;
 
 struct flood_load {
     std::array<double, rank_count> per_second{};
@@ -88,10 +88,10 @@
 private:
     struct event {
         bool arrival = false;
-        std::uint64_t id = 0; ///< rank of an arrival, ticket of an end
+        std::uint64_t id = 0; ///< rank of an arrival, id of the request that ends
     };
     struct running {
-        ticket request;
+        queued_request request;
         time_point started;
     };
 
@@ -102,7 +102,7 @@
         }
     }
     void arrive(std::size_t n, time_point now) {
-        const ticket request{++last_id_, all_ranks[n], now, now + load_.patience[n], false};
+        const queued_request request{++last_id_, all_ranks[n], now, now + load_.patience[n], false};
         ++result_.offered[n];
         ++result_.offered_in[std::size_t((now - start_) / std::chrono::seconds(1))][n];
         // Drawn for every arrival, so that all queues see the same requests with the same seed.
@@ -138,7 +138,7 @@
         }
     }
     void dispatch(time_point now) {
-        std::vector<ticket> expired;
+        std::vector<queued_request> expired;
         while (const auto chosen = queue_.next(now, expired)) {
             running_[chosen->id] = {*chosen, now};
             events_.insert({now + service_of_.at(chosen->id), {false, chosen->id}});
--- a/tests/admission/queue_test.cpp
+++ b/tests/admission/queue_test.cpp
@@ -19,12 +19,12 @@
     return result;
 }
 
-ticket request(std::uint64_t id, rank value, duration patience = 10s, bool exclusive = false) {
+queued_request request(std::uint64_t id, rank value, duration patience = 10s, bool exclusive = false) {
     return {id, value, start, start + patience, exclusive};
 }
 
 std::optional<std::uint64_t> next_id(queue& tested, time_point now = start) {
-    std::vector<ticket> expired;
+    std::vector<queued_request> expired;
     const auto chosen = tested.next(now, expired);
     return chosen ? std::optional(chosen->id) : std::nullopt;
 }
@@ -148,7 +148,7 @@
     SUBCASE("a passed deadline is found at dispatch, also while no slot is usable") {
         tested->admit(request(1, rank::urgent, 20ms), start);
         tested->set_slots(0);
-        std::vector<ticket> expired;
+        std::vector<queued_request> expired;
         CHECK_FALSE(tested->next(start + 20ms, expired));
         REQUIRE(expired.size() == 1);
         CHECK(expired[0].id == 1);
