--- a/include/kingcupseam/admission.h
+++ b/include/kingcupseam/admission.h
@@ -98,30 +98,30 @@
 };
 
 /// Requests that were in flight when an upstream died, by request digest.
-class suspect_list {
+class poison_request_list {
 public:
-    enum class standing : std::uint8_t { clear, suspect, refused };
-    struct suspect {
+    enum class status : std::uint8_t { clear, suspected, refused };
+    struct record {
         std::string digest;
         std::uint32_t crashes = 0;
         bool survived = false; ///< ran alone since the last crash; it runs normally until it crashes again
         time_point expires;
-        auto operator<=>(const suspect&) const = default;
+        auto operator<=>(const record&) const = default;
     };
 
-    explicit suspect_list(std::uint32_t crash_limit = 2, duration retention = std::chrono::minutes(10),
-                          std::size_t max_suspects = 4096);
+    explicit poison_request_list(std::uint32_t crash_limit = 2, duration retention = std::chrono::minutes(10),
+                                 std::size_t max_records = 4096);
 
     /// An upstream died with @p digests in flight. A lone request, or the only one that already was a
     /// suspect, is charged with a crash. Any other gets at most one crash less than the limit, so a shared
     /// crash makes a suspect but never refuses a request.
     /// @returns the records that changed, to be shared with the data centre
-    std::vector<suspect> on_crash(const std::vector<std::string>& digests, time_point now);
+    std::vector<record> on_crash(const std::vector<std::string>& digests, time_point now);
     /// A suspect ran alone and the upstream survived. It keeps its crashes but runs normally again.
-    std::optional<suspect> on_survived(const std::string& digest, time_point now);
+    std::optional<record> on_survived(const std::string& digest, time_point now);
     /// Merges a record from another instance: the higher number of crashes wins, then `survived`.
-    void merge(const suspect& other, time_point now);
-    standing standing_of(const std::string& digest, time_point now) const;
+    void merge(const record& other, time_point now);
+    status status_of(const std::string& digest, time_point now) const;
 
 private:
     struct state;
--- a/src/admission/suspect_list.cpp
+++ b/src/admission/poison_request_list.cpp
@@ -5,23 +5,23 @@
 
 namespace kingcupseam::admission {
 
-struct suspect_list::state {
+struct poison_request_list::state {
     std::uint32_t crash_limit;
     duration retention;
-    std::size_t max_suspects;
-    std::unordered_map<std::string, suspect> records;
+    std::size_t max_records;
+    std::unordered_map<std::string, record> records;
 
-    suspect* find(const std::string& digest, time_point now) {
+    record* find(const std::string& digest, time_point now) {
         const auto it = records.find(digest);
         return it == records.end() || it->second.expires <= now ? nullptr : &it->second;
     }
     /// Makes room by dropping expired records first, then the one with the fewest crashes that expires first.
     void make_room(time_point now) {
-        if (records.size() < max_suspects) {
+        if (records.size() < max_records) {
             return;
         }
         std::erase_if(records, [&](const auto& it) { return it.second.expires <= now; });
-        if (records.size() < max_suspects) {
+        if (records.size() < max_records) {
             return;
         }
         const auto weaker = [](const auto& a, const auto& b) {
@@ -31,7 +31,7 @@
         records.erase(std::min_element(records.begin(), records.end(), weaker));
     }
     /// The retention counts from the receipt, because clocks of instances differ.
-    suspect store(suspect wanted, time_point now) {
+    record store(record wanted, time_point now) {
         if (!records.contains(wanted.digest)) {
             make_room(now);
         }
@@ -40,20 +40,21 @@
     }
 };
 
-suspect_list::suspect_list(std::uint32_t crash_limit, duration retention, std::size_t max_suspects)
+poison_request_list::poison_request_list(std::uint32_t crash_limit, duration retention,
+                                         std::size_t max_records)
     : state_(std::make_shared<state>(
-          state{std::max(crash_limit, 1U), retention, std::max<std::size_t>(max_suspects, 1), {}})) {}
+          state{std::max(crash_limit, 1U), retention, std::max<std::size_t>(max_records, 1), {}})) {}
 
-std::vector<suspect_list::suspect> suspect_list::on_crash(const std::vector<std::string>& digests,
-                                                          time_point now) {
+std::vector<poison_request_list::record>
+poison_request_list::on_crash(const std::vector<std::string>& digests, time_point now) {
     std::vector<std::string> distinct(digests);
     std::sort(distinct.begin(), distinct.end());
     distinct.erase(std::unique(distinct.begin(), distinct.end()), distinct.end());
-    const auto is_suspect = [&](const std::string& it) { return standing_of(it, now) != standing::clear; };
+    const auto is_suspect = [&](const std::string& it) { return status_of(it, now) != status::clear; };
     const auto suspects = std::count_if(distinct.begin(), distinct.end(), is_suspect);
-    std::vector<suspect> changed;
+    std::vector<record> changed;
     for (const auto& digest : distinct) {
-        const suspect* known = state_->find(digest, now);
+        const record* known = state_->find(digest, now);
         const std::uint32_t before = known != nullptr ? known->crashes : 0;
         const bool charged = distinct.size() == 1 || (suspects == 1 && is_suspect(digest));
         const std::uint32_t limit = charged ? before + 1 : std::max(before, state_->crash_limit - 1);
@@ -62,8 +63,9 @@
     return changed;
 }
 
-std::optional<suspect_list::suspect> suspect_list::on_survived(const std::string& digest, time_point now) {
-    suspect* known = state_->find(digest, now);
+std::optional<poison_request_list::record> poison_request_list::on_survived(const std::string& digest,
+                                                                            time_point now) {
+    record* known = state_->find(digest, now);
     if (known == nullptr || known->survived || known->crashes >= state_->crash_limit) {
         return std::nullopt;
     }
@@ -71,11 +73,11 @@
     return *known;
 }
 
-void suspect_list::merge(const suspect& other, time_point now) {
+void poison_request_list::merge(const record& other, time_point now) {
     if (other.expires <= now) {
         return;
     }
-    const suspect* known = state_->find(other.digest, now);
+    const record* known = state_->find(other.digest, now);
     if (known != nullptr && (known->crashes > other.crashes ||
                              (known->crashes == other.crashes && (known->survived || !other.survived)))) {
         return;
@@ -83,15 +85,15 @@
     state_->store(other, now);
 }
 
-suspect_list::standing suspect_list::standing_of(const std::string& digest, time_point now) const {
-    const suspect* known = state_->find(digest, now);
+poison_request_list::status poison_request_list::status_of(const std::string& digest, time_point now) const {
+    const record* known = state_->find(digest, now);
     if (known == nullptr) {
-        return standing::clear;
+        return status::clear;
     }
     if (known->crashes >= state_->crash_limit) {
-        return standing::refused;
+        return status::refused;
     }
-    return known->survived ? standing::clear : standing::suspect;
+    return known->survived ? status::clear : status::suspected;
 }
 
 } // namespace kingcupseam::admission
--- a/src/app/instance/gate.cpp
+++ b/src/app/instance/gate.cpp
@@ -228,7 +228,7 @@
     });
 }
 
-void gate::share(const std::vector<admission::suspect_list::suspect>& changed) {
+void gate::share(const std::vector<admission::poison_request_list::record>& changed) {
     const auto view = views_.load();
     const time_point now = steady_now();
     for (const auto& it : changed) {
--- a/src/app/instance/upstream_dispatch.cpp
+++ b/src/app/instance/upstream_dispatch.cpp
@@ -329,8 +329,8 @@
             finish(request, not_run(refusal::stale_route));
             return;
         }
-        request->exclusive = shared_.suspects.standing_of(request->digest, steady_now()) !=
-                             admission::suspect_list::standing::clear;
+        request->exclusive = shared_.suspects.status_of(request->digest, steady_now()) !=
+                             admission::poison_request_list::status::clear;
         admit(request);
         pump();
     });
--- a/tests/admission/judgement_test.cpp
+++ b/tests/admission/judgement_test.cpp
@@ -6,7 +6,7 @@
 using namespace kingcupseam::admission;
 using namespace std::chrono_literals;
 using verdict = upstream_health::verdict;
-using standing = suspect_list::standing;
+using status = poison_request_list::status;
 
 namespace {
 const time_point start{100s};
@@ -56,49 +56,49 @@
 }
 
 TEST_CASE("a request that crashes upstreams is refused after two crashes") {
-    suspect_list tested(2, 10min, 4);
+    poison_request_list tested(2, 10min, 4);
     SUBCASE("a lone request is suspect after one crash and refused after two") {
         CHECK(tested.on_crash({"a"}, start).at(0).crashes == 1);
-        CHECK(tested.standing_of("a", start) == standing::suspect);
+        CHECK(tested.status_of("a", start) == status::suspected);
         tested.on_crash({"a"}, start + 1s);
-        CHECK(tested.standing_of("a", start + 1s) == standing::refused);
-        CHECK(tested.standing_of("a", start + 11min) == standing::clear);
+        CHECK(tested.status_of("a", start + 1s) == status::refused);
+        CHECK(tested.status_of("a", start + 11min) == status::clear);
     }
     SUBCASE("shared crashes never refuse a bystander, the second crash of a lone suspect does") {
         tested.on_crash({"a", "b"}, start);
         tested.on_crash({"a", "b"}, start);
         tested.on_crash({"a", "b"}, start);
-        CHECK(tested.standing_of("b", start) == standing::suspect);
+        CHECK(tested.status_of("b", start) == status::suspected);
         tested.on_crash({"a"}, start);
-        CHECK(tested.standing_of("a", start) == standing::refused);
+        CHECK(tested.status_of("a", start) == status::refused);
         CHECK(tested.on_survived("b", start)->survived);
-        CHECK(tested.standing_of("b", start) == standing::clear);
+        CHECK(tested.status_of("b", start) == status::clear);
     }
     SUBCASE("surviving once does not forgive an earlier crash") {
         tested.on_crash({"a"}, start);
         tested.on_survived("a", start);
-        CHECK(tested.standing_of("a", start) == standing::clear);
+        CHECK(tested.status_of("a", start) == status::clear);
         tested.on_crash({"a"}, start);
-        CHECK(tested.standing_of("a", start) == standing::refused);
+        CHECK(tested.status_of("a", start) == status::refused);
         CHECK_FALSE(tested.on_survived("a", start));
     }
     SUBCASE("one known suspect among first-time requests is charged, the others are not refused") {
         tested.on_crash({"a", "b"}, start);
         tested.on_crash({"a", "c"}, start);
-        CHECK(tested.standing_of("a", start) == standing::refused);
-        CHECK(tested.standing_of("c", start) == standing::suspect);
+        CHECK(tested.status_of("a", start) == status::refused);
+        CHECK(tested.status_of("c", start) == status::suspected);
     }
     SUBCASE("records of other instances merge in any order and twice") {
-        suspect_list other(2, 10min, 4);
+        poison_request_list other(2, 10min, 4);
         const auto first = tested.on_crash({"a"}, start).at(0);
         const auto cleared = *tested.on_survived("a", start);
         other.merge(cleared, start);
         other.merge(first, start);
-        CHECK(other.standing_of("a", start) == standing::clear);
+        CHECK(other.status_of("a", start) == status::clear);
         const auto second = tested.on_crash({"a"}, start).at(0);
         other.merge(second, start);
         other.merge(cleared, start);
-        CHECK(other.standing_of("a", start) == standing::refused);
+        CHECK(other.status_of("a", start) == status::refused);
     }
     SUBCASE("when the list is full a refused request is kept and the weakest suspect goes") {
         tested.on_crash({"bad"}, start);
@@ -106,9 +106,9 @@
         for (int n = 0; n < 10; ++n) {
             tested.on_crash({"x" + std::to_string(n)}, start + 1s * n);
         }
-        CHECK(tested.standing_of("bad", start + 10s) == standing::refused);
-        CHECK(tested.standing_of("x9", start + 10s) == standing::suspect);
-        CHECK(tested.standing_of("x0", start + 10s) == standing::clear);
+        CHECK(tested.status_of("bad", start + 10s) == status::refused);
+        CHECK(tested.status_of("x9", start + 10s) == status::suspected);
+        CHECK(tested.status_of("x0", start + 10s) == status::clear);
     }
 }
 
