--- a/include/kingcupseam/admission.h
+++ b/include/kingcupseam/admission.h
@@ -87,7 +87,7 @@
 class retry_budget {
 public:
     retry_budget(retry_policy settings, std::uint64_t seed);
-    void on_fresh_request(time_point now);
+    void on_first_attempt(time_point now);
     /// @param attempt number of attempts made so far, at least 1
     /// @returns the backoff to wait before the next attempt; empty when the request must not be retried
     std::optional<duration> try_retry(std::uint32_t attempt, time_point deadline, time_point now);
@@ -132,7 +132,7 @@
 /// judgement.
 class upstream_health {
 public:
-    enum class verdict : std::uint8_t { healthy, degraded, suspect_connection, frozen, dead };
+    enum class status : std::uint8_t { healthy, degraded, silent_connection, frozen, dead };
     struct options {
         duration silence_before_probe = std::chrono::milliseconds(250);
         duration probe_timeout = std::chrono::milliseconds(300);
@@ -151,7 +151,7 @@
     void on_probe_sent(time_point now);
     /// The new connection works: connections that stay silent are lost.
     void on_probe_answered(time_point now);
-    verdict current(time_point now) const;
+    status current(time_point now) const;
     /// Fraction of the slots to use, 0 to 1; a cold or degraded upstream gets less.
     double slot_fraction(time_point now) const;
 
--- a/src/admission/retry_budget.cpp
+++ b/src/admission/retry_budget.cpp
@@ -58,7 +58,7 @@
 retry_budget::retry_budget(retry_policy settings, std::uint64_t seed)
     : state_(std::make_shared<state>(state{settings, std::mt19937_64(seed), {}})) {}
 
-void retry_budget::on_fresh_request(time_point now) {
+void retry_budget::on_first_attempt(time_point now) {
     ++state_->at(now).fresh;
 }
 
--- a/src/admission/upstream_health.cpp
+++ b/src/admission/upstream_health.cpp
@@ -115,25 +115,25 @@
     s.refused = 0;
 }
 
-upstream_health::verdict upstream_health::current(time_point now) const {
+upstream_health::status upstream_health::current(time_point now) const {
     const auto& s = *state_;
     if (s.refused >= s.settings.refused_before_dead) {
-        return verdict::dead;
+        return status::dead;
     }
     if (s.probe_failed(now)) {
-        return verdict::frozen;
+        return status::frozen;
     }
     const bool answered_since = s.last_answer && s.probe_answered && *s.last_answer > *s.probe_answered;
     if (s.probe_answered && !answered_since && now - *s.probe_answered < s.settings.probe_timeout) {
-        return verdict::suspect_connection;
+        return status::silent_connection;
     }
-    return s.outcome_factor < 0.7 || s.report_factor(now) < 1 ? verdict::degraded : verdict::healthy;
+    return s.outcome_factor < 0.7 || s.report_factor(now) < 1 ? status::degraded : status::healthy;
 }
 
 double upstream_health::slot_fraction(time_point now) const {
     const auto& s = *state_;
-    const verdict judged = current(now);
-    if (judged == verdict::dead || judged == verdict::frozen) {
+    const status judged = current(now);
+    if (judged == status::dead || judged == status::frozen) {
         return 0;
     }
     const double age =
--- a/src/app/instance/upstream_gate.cpp
+++ b/src/app/instance/upstream_gate.cpp
@@ -113,7 +113,7 @@
         refuse(request, refusal::expired_key);
         return;
     }
-    retries_.on_fresh_request(request->arrived);
+    retries_.on_first_attempt(request->arrived);
     admit(request);
     pump();
 }
@@ -243,8 +243,8 @@
     result.name = row_.name;
     result.incarnation = static_cast<std::int64_t>(row_.incarnation);
     const auto verdict = health_.current(now);
-    const bool failed = verdict == admission::upstream_health::verdict::dead ||
-                        verdict == admission::upstream_health::verdict::frozen || grants_.failing();
+    const bool failed = verdict == admission::upstream_health::status::dead ||
+                        verdict == admission::upstream_health::status::frozen || grants_.failing();
     result.health = static_cast<std::int8_t>(failed                ? reported_health::failed
                                              : grants_.contacted() ? reported_health::serving
                                                                    : reported_health::not_contacted);
--- a/tests/admission/judgement_test.cpp
+++ b/tests/admission/judgement_test.cpp
@@ -5,7 +5,7 @@
 using namespace kingcupseam;
 using namespace kingcupseam::admission;
 using namespace std::chrono_literals;
-using verdict = upstream_health::verdict;
+using health = upstream_health::status;
 using status = poison_request_list::status;
 
 namespace {
@@ -17,7 +17,7 @@
     SUBCASE("a failing upstream does not multiply the load") {
         int allowed = 0;
         for (int n = 0; n < 1000; ++n) {
-            tested.on_fresh_request(start + 1ms * n);
+            tested.on_first_attempt(start + 1ms * n);
             allowed += tested.try_retry(1, start + 1h, start + 1ms * n).has_value() ? 1 : 0;
         }
         CHECK(allowed >= 95);
@@ -33,7 +33,7 @@
     }
     SUBCASE("fresh work older than the period gives no budget") {
         for (int n = 0; n < 1000; ++n) {
-            tested.on_fresh_request(start);
+            tested.on_first_attempt(start);
         }
         int allowed = 0;
         for (int n = 0; n < 100; ++n) {
@@ -125,15 +125,15 @@
             tested.on_connect_refused(warm);
             tested.on_reported_load(0, 6, warm);
         }
-        CHECK(tested.current(warm) == verdict::dead);
+        CHECK(tested.current(warm) == health::dead);
         CHECK(tested.slot_fraction(warm) == 0);
     }
     SUBCASE("bad reports alone slow an upstream down but do not stop it, and they expire") {
         tested.on_reported_load(5000, 0, warm);
         tested.on_reported_unhealthy(warm);
-        CHECK(tested.current(warm) == verdict::degraded);
+        CHECK(tested.current(warm) == health::degraded);
         CHECK(tested.slot_fraction(warm) >= 0.5);
-        CHECK(tested.current(warm + 3s) == verdict::healthy);
+        CHECK(tested.current(warm + 3s) == health::healthy);
     }
     SUBCASE("a probe on a new connection tells a lost connection from a frozen upstream") {
         CHECK_FALSE(tested.probe_due(warm, warm + 100ms));
@@ -143,35 +143,35 @@
         CHECK_FALSE(tested.probe_due(warm, warm + 260ms));
         SUBCASE("answered: the old connection is lost") {
             tested.on_probe_answered(warm + 260ms);
-            CHECK(tested.current(warm + 261ms) == verdict::suspect_connection);
+            CHECK(tested.current(warm + 261ms) == health::silent_connection);
             CHECK(tested.slot_fraction(warm + 261ms) > 0.5);
             CHECK_FALSE(tested.probe_due(warm, warm + 270ms));
             CHECK(tested.probe_due(warm, warm + 600ms));
         }
         SUBCASE("silent: the upstream is frozen within 1 s and ramps up when it returns") {
-            CHECK(tested.current(warm + 600ms) == verdict::frozen);
+            CHECK(tested.current(warm + 600ms) == health::frozen);
             CHECK(tested.slot_fraction(warm + 600ms) == 0);
             tested.on_reported_load(0, 6, warm + 600ms);
-            CHECK(tested.current(warm + 600ms) == verdict::frozen);
+            CHECK(tested.current(warm + 600ms) == health::frozen);
             tested.on_answer(5ms, warm + 5s);
-            CHECK(tested.current(warm + 5s) != verdict::frozen);
+            CHECK(tested.current(warm + 5s) != health::frozen);
             CHECK(tested.slot_fraction(warm + 5s) < 0.3);
         }
         SUBCASE("a late answer on an old connection while the probe is pending ends the doubt") {
             tested.on_answer(300ms, warm + 300ms);
-            CHECK(tested.current(warm + 700ms) == verdict::healthy);
+            CHECK(tested.current(warm + 700ms) == health::healthy);
         }
     }
     SUBCASE("failures lower the fraction and answers restore it") {
         for (int n = 0; n < 20; ++n) {
             tested.on_timeout(warm);
         }
-        CHECK(tested.current(warm) == verdict::degraded);
+        CHECK(tested.current(warm) == health::degraded);
         CHECK(tested.slot_fraction(warm) == doctest::Approx(0.1));
         for (int n = 0; n < 60; ++n) {
             tested.on_answer(5ms, warm);
         }
         CHECK(tested.slot_fraction(warm) > 0.9);
-        CHECK(tested.current(warm) == verdict::healthy);
+        CHECK(tested.current(warm) == health::healthy);
     }
 }
