--- a/include/kingcupseam/ownership.h
+++ b/include/kingcupseam/ownership.h
@@ -229,15 +229,15 @@
 inline constexpr std::int64_t clock_drift_divisor = 500;
 /// Time for a dispatched request to reach its upstream: one way inside a data centre is 1.5 ms at most, the
 /// rest covers queueing in sockets and threads.
-inline constexpr duration dispatch_time = std::chrono::milliseconds(10);
+inline constexpr duration max_dispatch_latency = std::chrono::milliseconds(10);
 
 /// Most that two clocks differ by after @p length, rounded up.
-constexpr duration clock_drift(duration length) {
+constexpr duration max_clock_drift(duration length) {
     return duration(length.count() / clock_drift_divisor + 1);
 }
 /// How long before the end of a lease of @p length dispatch stops.
 constexpr duration dispatch_margin(duration length) {
-    return clock_drift(length) + dispatch_time;
+    return max_clock_drift(length) + max_dispatch_latency;
 }
 
 /// Grants from the view of the gate of one upstream: what to send, and until when the upstream may hold a
--- a/src/ownership/grant_issuer.cpp
+++ b/src/ownership/grant_issuer.cpp
@@ -63,7 +63,7 @@
     if (token.empty() || revoking || gate_lease_end <= now) {
         return duration::zero();
     }
-    const duration room = gate_lease_end - token_received - clock_drift(lease);
+    const duration room = gate_lease_end - token_received - max_clock_drift(lease);
     const auto length = std::chrono::floor<std::chrono::milliseconds>(std::min(lease, room));
     return token_received + length > now ? duration(length) : duration::zero();
 }
@@ -79,7 +79,7 @@
 
 void grant_issuer::state::note_sent(duration length) {
     if (length > duration::zero()) {
-        live_until = std::max(live_until, token_received + length + clock_drift(length));
+        live_until = std::max(live_until, token_received + length + max_clock_drift(length));
     }
 }
 
--- a/src/ownership/plan_hot_keys.cpp
+++ b/src/ownership/plan_hot_keys.cpp
@@ -26,14 +26,14 @@
     std::vector<double> on;            ///< by upstream index
     std::set<std::string> names;
 
-    loads(const planning& input, const std::string& name, const service_rows& service)
-        : usable(input.eligible(name)), on(input.weights.size()) {
+    loads(const plan_input& input, const std::string& name, const service_rows& service)
+        : usable(input.eligible_upstreams(name)), on(input.weights.size()) {
         for (const auto& it : input.view.hot_keys) {
             if (it.service != name || !names.insert(it.key).second) {
                 continue;
             }
             keys.push_back(it);
-            const auto index = input.holder(row_of(service, it.key));
+            const auto index = input.intended_owner(row_of(service, it.key));
             if (index < on.size()) {
                 on[index] += it.requests_per_second;
             }
@@ -43,7 +43,7 @@
         });
     }
 
-    std::uint32_t least_loaded(const planning& input, std::uint32_t except) const {
+    std::uint32_t least_loaded(const plan_input& input, std::uint32_t except) const {
         std::uint32_t best = no_upstream;
         for (const auto it : usable) {
             if (it != except &&
@@ -55,7 +55,7 @@
     }
 };
 
-bool hot_key_planner::take_budget(const planning& input) {
+bool hot_key_planner::take_budget(const plan_input& input) {
     while (!recent_.empty() && recent_.front() + input.settings.hot_key_period <= input.now) {
         recent_.pop_front();
     }
@@ -67,10 +67,10 @@
 }
 
 // Keys without a usable owner are not served, so they do not wait for the limit.
-void hot_key_planner::rescue(const planning& input, const service_rows& service, loads& seen,
+void hot_key_planner::rescue(const plan_input& input, const service_rows& service, loads& seen,
                              move_list& moves) const {
     for (const auto& [key, row] : service.hot_keys) {
-        if (!input.movable(row)) {
+        if (!input.needs_new_target(row)) {
             continue;
         }
         const auto& shard = service.shards[shard_of(key, static_cast<std::uint32_t>(service.shards.size()))];
@@ -78,12 +78,12 @@
             shard.next == no_upstream && shard.owner < input.weights.size() && input.weights[shard.owner] > 0;
         const auto to = home ? shard.owner : seen.least_loaded(input, no_upstream);
         if (to != no_upstream) {
-            moves.begin(input.rows.upstreams[to].name, key);
+            moves.add_begin(input.rows.upstreams[to].name, key);
         }
     }
 }
 
-void hot_key_planner::spread(const planning& input, const service_rows& service, loads& seen,
+void hot_key_planner::spread(const plan_input& input, const service_rows& service, loads& seen,
                              move_list& moves) {
     for (const auto& it : seen.keys) {
         const auto& row = row_of(service, it.key);
@@ -104,14 +104,14 @@
         }
         seen.on[row.owner] -= it.requests_per_second;
         seen.on[to] += it.requests_per_second;
-        moves.begin(input.rows.upstreams[to].name, it.key);
+        moves.add_begin(input.rows.upstreams[to].name, it.key);
     }
 }
 
 // A key returns to its shard after a whole period without load. Without any report nothing is known to be
 // cold.
-void hot_key_planner::return_cold(const planning& input, const std::string& name, const service_rows& service,
-                                  const loads& seen, move_list& moves) {
+void hot_key_planner::return_cold(const plan_input& input, const std::string& name,
+                                  const service_rows& service, const loads& seen, move_list& moves) {
     for (const auto& [key, row] : service.hot_keys) {
         const std::pair id(name, key);
         if (seen.names.count(key) > 0 || input.view.hot_keys.empty()) {
@@ -122,15 +122,15 @@
         const auto& shard = service.shards[shard_of(key, static_cast<std::uint32_t>(service.shards.size()))];
         if (input.now - since < input.settings.hot_key_period || row.next != no_upstream ||
             shard.next != no_upstream || shard.owner >= input.weights.size() ||
-            input.weights[shard.owner] <= 0 || input.movable(row) || !take_budget(input)) {
+            input.weights[shard.owner] <= 0 || input.needs_new_target(row) || !take_budget(input)) {
             continue;
         }
         cold_since_.erase(id);
-        moves.begin(input.rows.upstreams[shard.owner].name, key);
+        moves.add_begin(input.rows.upstreams[shard.owner].name, key);
     }
 }
 
-void hot_key_planner::plan(const planning& input, const std::string& name, const service_rows& service,
+void hot_key_planner::plan(const plan_input& input, const std::string& name, const service_rows& service,
                            move_list& moves) {
     if (service.shards.empty()) {
         return;
--- a/src/ownership/plan_instances.cpp
+++ b/src/ownership/plan_instances.cpp
@@ -20,7 +20,7 @@
     return best;
 }
 
-const std::set<std::string>& replica_instances(const planning& input) {
+const std::set<std::string>& replica_instances(const plan_input& input) {
     return input.view.live_replicas.empty() ? input.view.live_instances : input.view.live_replicas;
 }
 
@@ -39,7 +39,7 @@
 };
 
 // The standby takes over: it already has links to the callers' entries for this upstream.
-std::vector<gate_choice> keep_live(const planning& input) {
+std::vector<gate_choice> keep_live(const plan_input& input) {
     std::vector<gate_choice> choices;
     const auto& live = input.view.live_instances;
     for (const auto& it : input.rows.upstreams) {
@@ -75,7 +75,7 @@
     }
 }
 
-void assign_role(std::vector<gate_choice>& choices, const planning& input, std::string gate_choice::*role,
+void assign_role(std::vector<gate_choice>& choices, const plan_input& input, std::string gate_choice::*role,
                  std::string gate_choice::*other) {
     auto counts = empty_counts(input.view.live_instances);
     for (const auto& it : choices) {
@@ -97,14 +97,14 @@
 // Nothing at an upstream that does not check grants refuses a former gate, so the next one waits for the end
 // of the former one's lease. Its acknowledgements would otherwise end moves while the former gate still
 // dispatches.
-bool waits_for_former_gate(const planning& input, const upstream_row& row) {
+bool waits_for_former_gate(const plan_input& input, const upstream_row& row) {
     const auto until = input.view.grant_may_live_until.find(row.name);
     return !row.checks_grants && !row.gate.empty() && until != input.view.grant_may_live_until.end() &&
            input.now <= until->second;
 }
 
 /// Replicas and joining instances of every group, counted for live instances.
-instance_counts count_replicas(const planning& input) {
+instance_counts count_replicas(const plan_input& input) {
     auto counts = empty_counts(replica_instances(input));
     for (const auto& group : input.rows.ledger_groups) {
         for (const auto* list : {&group.replicas, &group.joining}) {
@@ -130,7 +130,7 @@
 
 // A group without replicas has nothing to copy. Later replicas join first, and whoever copies the window
 // promotes them.
-ledger_group plan_group(const planning& input, ledger_group group, instance_counts& counts) {
+ledger_group plan_group(const plan_input& input, ledger_group group, instance_counts& counts) {
     const auto& live = replica_instances(input);
     const auto lost = [&live](const std::string& it) { return live.count(it) == 0; };
     const auto wanted = input.settings.ledger_replicas;
@@ -152,7 +152,7 @@
 
 } // namespace
 
-void plan_gates(const planning& input, std::vector<command>& out) {
+void plan_gates(const plan_input& input, std::vector<command>& out) {
     if (input.view.live_instances.empty()) {
         return;
     }
@@ -170,7 +170,7 @@
     }
 }
 
-void plan_ledger_groups(const planning& input, std::vector<command>& out) {
+void plan_ledger_groups(const plan_input& input, std::vector<command>& out) {
     if (input.view.live_instances.empty()) {
         return;
     }
--- a/src/ownership/plan_shards.cpp
+++ b/src/ownership/plan_shards.cpp
@@ -40,7 +40,7 @@
 
 namespace {
 
-void complete_moves(const planning& input, const service_rows& service, move_list& moves) {
+void complete_moves(const plan_input& input, const service_rows& service, move_list& moves) {
     const auto& upstreams = input.rows.upstreams;
     const auto target = [&](const shard_row& row, std::string& to) {
         if (row.next == no_upstream || (row.next == placed_elsewhere && row.owner == no_upstream) ||
@@ -56,12 +56,12 @@
     std::string to;
     for (std::uint32_t n = 0; n < service.shards.size(); ++n) {
         if (target(service.shards[n], to)) {
-            moves.complete(to, n);
+            moves.add_completion(to, n);
         }
     }
     for (const auto& [key, row] : service.hot_keys) {
         if (target(row, to)) {
-            moves.complete(to, key);
+            moves.add_completion(to, key);
         }
     }
 }
@@ -74,7 +74,7 @@
     std::uint32_t total = 0;                         ///< shards at home here
 };
 
-holdings count_holdings(const planning& input, const service_rows& service,
+holdings count_holdings(const plan_input& input, const service_rows& service,
                         const std::vector<std::uint32_t>& upstreams) {
     std::vector<std::size_t> position(input.weights.size(), upstreams.size());
     for (std::size_t n = 0; n < upstreams.size(); ++n) {
@@ -86,13 +86,13 @@
     for (std::uint32_t n = 0; n < service.shards.size(); ++n) {
         const auto& row = service.shards[n];
         result.total += row.next == placed_elsewhere ? 0 : 1;
-        const auto index = input.holder(row);
+        const auto index = input.intended_owner(row);
         if (index < position.size() && position[index] < upstreams.size()) {
             ++result.counts[position[index]];
             if (row.next == no_upstream) {
                 result.at_rest[position[index]].push_back(n);
             }
-        } else if (input.movable(row)) {
+        } else if (input.needs_new_target(row)) {
             result.free.push_back(n);
         }
     }
@@ -113,10 +113,10 @@
 
 } // namespace
 
-void plan_shards(const planning& input, const std::string& name, const service_rows& service,
+void plan_shards(const plan_input& input, const std::string& name, const service_rows& service,
                  move_list& moves) {
     complete_moves(input, service, moves);
-    const auto upstreams = input.eligible(name);
+    const auto upstreams = input.eligible_upstreams(name);
     if (upstreams.empty()) {
         return;
     }
@@ -132,7 +132,7 @@
     auto next = held.free.begin();
     for (std::size_t n = 0; n < shares.size(); ++n) {
         for (; held.counts[n] < shares[n] && next != held.free.end(); ++next, ++held.counts[n]) {
-            moves.begin(input.rows.upstreams[upstreams[n]].name, *next);
+            moves.add_begin(input.rows.upstreams[upstreams[n]].name, *next);
         }
     }
 }
--- a/src/ownership/planner.cpp
+++ b/src/ownership/planner.cpp
@@ -4,17 +4,17 @@
 
 namespace kingcupseam::ownership {
 
-planning::planning(const table& current, const cluster_view& seen, time_point at,
-                   const planner_options& options)
+plan_input::plan_input(const table& current, const cluster_view& seen, time_point at,
+                       const planner_options& options)
     : rows(current), view(seen), now(at), settings(options) {
     weights.reserve(rows.upstreams.size());
     for (const auto& it : rows.upstreams) {
-        weights.push_back(weight_of(it));
+        weights.push_back(target_weight(it));
     }
-    exclude_returned();
+    exclude_returned_incarnations();
 }
 
-double planning::weight_of(const upstream_row& row) const {
+double plan_input::target_weight(const upstream_row& row) const {
     if (row.condition != upstream_status::joining && row.condition != upstream_status::active) {
         return 0;
     }
@@ -33,7 +33,7 @@
 
 // The end of a grant is known by the upstream's name. While a former incarnation may hold one, granting
 // shards to the next incarnation would keep extending that end.
-void planning::exclude_returned() {
+void plan_input::exclude_returned_incarnations() {
     std::set<std::uint32_t> owners;
     for (const auto& [name, service] : rows.services) {
         for (const auto& it : service.shards) {
@@ -57,7 +57,7 @@
 
 // Versions count only for an upstream that is not lost: those of its next incarnation say nothing about its
 // grants.
-bool planning::grant_ended(const shard_row& row) const {
+bool plan_input::grant_ended(const shard_row& row) const {
     if (row.owner >= rows.upstreams.size()) {
         return true;
     }
@@ -71,12 +71,12 @@
     return until == view.grant_may_live_until.end() || now > until->second;
 }
 
-std::uint32_t planning::holder(const shard_row& row) const {
+std::uint32_t plan_input::intended_owner(const shard_row& row) const {
     return row.next == no_upstream ? row.owner : (row.next == placed_elsewhere ? no_upstream : row.next);
 }
 
-bool planning::movable(const shard_row& row) const {
-    const auto index = holder(row);
+bool plan_input::needs_new_target(const shard_row& row) const {
+    const auto index = intended_owner(row);
     if (row.next == placed_elsewhere || (index < weights.size() && weights[index] > 0)) {
         return false;
     }
@@ -85,7 +85,7 @@
     return !waits_for_grant || grant_ended(row);
 }
 
-std::vector<std::uint32_t> planning::eligible(const std::string& service) const {
+std::vector<std::uint32_t> plan_input::eligible_upstreams(const std::string& service) const {
     std::vector<std::uint32_t> result;
     for (std::uint32_t n = 0; n < weights.size(); ++n) {
         if (weights[n] > 0 && rows.upstreams[n].service == service) {
@@ -107,7 +107,7 @@
 namespace {
 
 // An upstream that answered its gate is ready for shards.
-void plan_conditions(const planning& input, std::vector<command>& out) {
+void plan_conditions(const plan_input& input, std::vector<command>& out) {
     for (const auto& it : input.rows.upstreams) {
         const auto acknowledged = input.view.acknowledged_version.find(it.name);
         if (it.condition == upstream_status::joining && !it.gate.empty() &&
@@ -122,7 +122,7 @@
     explicit fewest_moves_planner(planner_options settings) : settings_(settings) {}
 
     std::vector<command> plan(const table& rows, const cluster_view& view, time_point now) override {
-        const planning input(rows, view, now, settings_);
+        const plan_input input(rows, view, now, settings_);
         std::vector<command> out;
         plan_gates(input, out);
         plan_conditions(input, out);
--- a/tests/ownership/world.cpp
+++ b/tests/ownership/world.cpp
@@ -97,10 +97,10 @@
     leader_.elected_at = now_ + election;
     leader_clock_ = random_clock();
     leader_.plans = make_fewest_moves_planner(options_.planning);
-    const auto elected = local(leader_clock_) + election + clock_drift(election);
+    const auto elected = local(leader_clock_) + election + max_clock_drift(election);
     for (const auto& [name, gates] : gates_of_) {
         for (const auto& it : gates) {
-            leader_.gate_bound[it] = elected + lease + clock_drift(lease);
+            leader_.gate_bound[it] = elected + lease + max_clock_drift(lease);
             leader_.heard[it] = elected;
         }
     }
--- a/tests/ownership/world_processes.cpp
+++ b/tests/ownership/world_processes.cpp
@@ -22,7 +22,7 @@
         if (row.condition == upstream_status::lost && known != leader_.reports.end() &&
             make_epoch(1, known->second.table_version) >= row.version) {
             const auto remaining = known->second.remaining;
-            bound = std::max(bound, known->second.received + remaining + clock_drift(remaining));
+            bound = std::max(bound, known->second.received + remaining + max_clock_drift(remaining));
         } else if (const auto lease_bound = leader_.gate_bound.find(it);
                    lease_bound != leader_.gate_bound.end()) {
             bound = std::max(bound, lease_bound->second);
@@ -94,7 +94,7 @@
                         const std::map<upstream_id, std::uint32_t>& failed,
                         const std::map<std::string, epoch_number>& accepted) {
     const auto now = local(leader_clock_);
-    leader_.gate_bound[name] = now + lease + clock_drift(lease);
+    leader_.gate_bound[name] = now + lease + max_clock_drift(lease);
     leader_.heard[name] = now;
     for (const auto& [reported, left] : remaining) {
         auto& it = leader_.reports[{name, reported}];
