--- a/include/kingcupseam/ownership.h
+++ b/include/kingcupseam/ownership.h
@@ -186,7 +186,7 @@
 
 /// What the leader of the data centre group knows besides the table.
 struct cluster_view {
-    std::set<std::string> live_instances; ///< instances that may be gates and ledger replicas
+    std::set<std::string> live_instances; ///< instances of this data centre, for gates and replicas
     /// Upper bound of the end of each upstream's grants, over all gates that it has had; absent: no grant is
     /// live. The bound for a gate is the end of its lease. An earlier end that the gate reports is used only
     /// for a lost upstream and a gate that has applied the loss: any other gate may renew the grant.
--- a/src/ownership/assignment_change.h
+++ b/src/ownership/assignment_change.h
@@ -4,7 +4,8 @@
 
 namespace kingcupseam::ownership {
 
-/// Applies one command to a table. Returns false, with the table unchanged, for a command that does not fit.
+/// Applies one command to a table. Returns false, with the table unchanged, for a command that does not
+/// apply.
 class assignment_change {
 public:
     assignment_change(table& rows, epoch_number epoch) : rows_(rows), epoch_(epoch) {}
@@ -21,17 +22,18 @@
     bool create_service(const register_upstream& change);
     bool update_row(upstream_row& row, const upstream_row& announced);
     void add_row(const upstream_row& announced);
-    bool superseded(const upstream_row& announced) const;
+    bool is_superseded(const upstream_row& announced) const;
     std::uint32_t free_index(const std::string& name) const;
-    /// Index of the latest incarnation, or no_upstream when it is lost or not of @p service.
-    std::uint32_t target(const std::string& service, const std::string& upstream) const;
-    void raise(std::uint32_t index);
-    bool begin(shard_row& row, std::uint32_t to);
-    bool begin_hot_key(service_rows& service, const std::string& key, std::uint32_t to);
-    bool complete(shard_row& row, std::uint32_t to);
-    bool complete_hot_key(service_rows& service, const std::string& key, std::uint32_t to);
-    bool leave(shard_row& row);
-    bool stay(shard_row& row);
+    /// Index of the row of @p upstream that is not lost; no_upstream when @p service has none.
+    std::uint32_t target_index(const std::string& service, const std::string& upstream) const;
+    /// Sets epoch and version of the upstream at @p index to the epoch of the command.
+    void raise_epoch(std::uint32_t index);
+    bool begin_row_move(shard_row& row, std::uint32_t to);
+    bool begin_hot_key_move(service_rows& service, const std::string& key, std::uint32_t to);
+    bool complete_row_move(shard_row& row, std::uint32_t to);
+    bool complete_hot_key_move(service_rows& service, const std::string& key, std::uint32_t to);
+    bool place_elsewhere(shard_row& row);
+    bool place_here(shard_row& row);
 
     table& rows_;
     epoch_number epoch_;
--- a/src/ownership/register_change.cpp
+++ b/src/ownership/register_change.cpp
@@ -14,21 +14,21 @@
 
 constexpr std::array<const char*, 4> state_names{"joining", "active", "draining", "lost"};
 
-/// Event of an announcement that states @p condition; empty for `lost`, which nobody announces.
+/// Event of an announcement that states @p condition; empty for `lost`, which is never announced.
 std::string_view event_of_announcement(upstream_status condition) {
     constexpr std::array<std::string_view, 4> events{"announced", "announced_active", "announced_draining",
                                                      ""};
     return events.at(static_cast<std::size_t>(condition));
 }
 
-/// Event of a set_condition to @p condition; empty for `joining`, which only an announcement reaches.
+/// Event of a set_condition to @p condition; empty for `joining`, which only an announcement sets.
 std::string_view event_of_change(upstream_status condition) {
     constexpr std::array<std::string_view, 4> events{"", "granted", "drain_requested", "lease_expired"};
     return events.at(static_cast<std::size_t>(condition));
 }
 
 /// State of charts/upstream.toml after @p event; unchanged when there is no transition.
-upstream_status after(upstream_status condition, std::string_view event) {
+upstream_status next_state(upstream_status condition, std::string_view event) {
     if (event.empty()) {
         return condition;
     }
@@ -42,10 +42,10 @@
     return static_cast<upstream_status>(found - state_names.begin());
 }
 
-void mark_used(std::vector<bool>& used, const shard_row& row) {
+void mark_referenced(std::vector<bool>& referenced, const shard_row& row) {
     for (const auto index : {row.owner, row.next}) {
-        if (index < used.size()) {
-            used[index] = true;
+        if (index < referenced.size()) {
+            referenced[index] = true;
         }
     }
 }
@@ -69,9 +69,9 @@
     return true;
 }
 
-// Acknowledgements are known by name. A process that returns after another one took its name would be taken
-// for the one that acknowledged, so it stays lost.
-bool assignment_change::superseded(const upstream_row& announced) const {
+// Acknowledgements are recorded by name. An incarnation that returns after a later one has registered would
+// be credited with the acknowledgements of the later one, so it stays lost.
+bool assignment_change::is_superseded(const upstream_row& announced) const {
     const auto* latest = rows_.find(announced.name);
     return latest != nullptr && latest->incarnation != announced.incarnation &&
            std::any_of(rows_.upstreams.begin(), rows_.upstreams.end(), [&](const upstream_row& it) {
@@ -79,8 +79,8 @@
            });
 }
 
-// A row that still owns something keeps its place, since its shards refer to it by index; so does the row of
-// the incarnation that @p name had last, by which that incarnation is recognised when it returns.
+// Shards refer to rows by index, so a row is reused only when no shard refers to it. The row of the last
+// incarnation of @p name is not reused either: it is needed to recognise that incarnation when it returns.
 std::uint32_t assignment_change::free_index(const std::string& name) const {
     std::vector<bool> used(rows_.upstreams.size());
     if (const auto* last = rows_.find(name)) {
@@ -88,10 +88,10 @@
     }
     for (const auto& [service_name, service] : rows_.services) {
         for (const auto& it : service.shards) {
-            mark_used(used, it);
+            mark_referenced(used, it);
         }
         for (const auto& [key, it] : service.hot_keys) {
-            mark_used(used, it);
+            mark_referenced(used, it);
         }
     }
     for (std::uint32_t n = 0; n < used.size(); ++n) {
@@ -111,7 +111,7 @@
     row = announced;
     row.gate.clear();
     row.standby.clear();
-    raise(index);
+    raise_epoch(index);
 }
 
 bool assignment_change::update_row(upstream_row& row, const upstream_row& announced) {
@@ -120,9 +120,9 @@
     row.slots = announced.slots;
     row.connections = announced.connections;
     row.checks_grants = announced.checks_grants;
-    const bool returns = row.condition == upstream_status::lost;
-    row.condition = after(row.condition, event_of_announcement(announced.condition));
-    if (returns) {
+    const bool was_lost = row.condition == upstream_status::lost;
+    row.condition = next_state(row.condition, event_of_announcement(announced.condition));
+    if (was_lost) {
         row.epoch = epoch_;
         row.version = epoch_;
     }
@@ -132,7 +132,7 @@
 bool assignment_change::apply(const register_upstream& change) {
     const auto& announced = change.row;
     if (announced.name.empty() || announced.service.empty() || announced.slots == 0 ||
-        announced.condition == upstream_status::lost || superseded(announced) || !create_service(change)) {
+        announced.condition == upstream_status::lost || is_superseded(announced) || !create_service(change)) {
         return false;
     }
     bool known = false;
@@ -145,9 +145,9 @@
         if (row.incarnation == announced.incarnation && row.service == announced.service) {
             known = true;
             changed = update_row(row, announced) || changed;
-        } else if (const auto next = after(row.condition, "superseded"); next != row.condition) {
+        } else if (const auto next = next_state(row.condition, "superseded"); next != row.condition) {
             row.condition = next;
-            raise(n);
+            raise_epoch(n);
         }
     }
     if (!known) {
@@ -161,13 +161,13 @@
         auto& row = rows_.upstreams[n];
         if (row.name == change.upstream && row.incarnation == change.incarnation &&
             (change.observed == 0 || row.epoch <= change.observed)) {
-            const auto next = after(row.condition, event_of_change(change.condition));
+            const auto next = next_state(row.condition, event_of_change(change.condition));
             if (next == row.condition) {
                 continue;
             }
             row.condition = next;
             if (next == upstream_status::lost) {
-                raise(n);
+                raise_epoch(n);
             }
             return true;
         }
@@ -203,8 +203,8 @@
     const bool had_windows = !groups[change.group].replicas.empty();
     groups[change.group] = change.replicas;
     if (had_windows) {
-        // Gates read the windows again under the new epoch: those that they read before may miss what other
-        // replicas hold.
+        // The new epoch makes gates read the windows again. What they read from the former replicas may lack
+        // records that the new replicas hold.
         for (auto& row : rows_.upstreams) {
             row.epoch = row.condition == upstream_status::lost ? row.epoch : epoch_;
         }
