--- a/src/ownership/assignment_state.cpp
+++ b/src/ownership/assignment_state.cpp
@@ -15,7 +15,7 @@
 assignment_state::assignment_state(table rows) : table_(std::make_shared<table>(std::move(rows))) {}
 
 bool assignment_state::apply(const command& change, std::uint64_t index) {
-    // An index that was applied already is a replay after a snapshot; its epochs must not be given out again.
+    // A command that was applied already is a replay after a snapshot; its epoch must not be used twice.
     if (index <= table_->version) {
         return false;
     }
@@ -23,7 +23,7 @@
     if (table_.use_count() > 2) {
         next = std::make_shared<table>(*table_);
     } else {
-        // Orders the reads of a former reader before the change, since use_count() is relaxed.
+        // use_count() is a relaxed load: the fence orders the reads of the last reader before the change.
         std::atomic_thread_fence(std::memory_order_acquire);
     }
     assignment_change editor(*next, make_epoch(next->generation, index));
--- a/src/ownership/grant_holder.cpp
+++ b/src/ownership/grant_holder.cpp
@@ -20,28 +20,28 @@
 
 struct grant_holder::state {
     std::mt19937_64 random;
-    std::unordered_map<std::string, time_point> issued;
+    std::unordered_map<std::string, time_point> issued_at;
     std::deque<std::string> tokens; ///< in the order of issue
     epoch_number epoch = 0;
     epoch_number version = 0;
-    epoch_number newest_version = 0; ///< highest version seen within the epoch, held or not
+    epoch_number newest_version = 0; ///< highest version of the epoch, also if its shards are missing
     scope granted;
     time_point live_until{};
 
-    void forget_tokens(time_point now);
+    void drop_expired_tokens(time_point now);
     void renew(duration lease, const std::string& token);
 };
 
-void grant_holder::state::forget_tokens(time_point now) {
-    while (!tokens.empty() && issued.at(tokens.front()) + token_retention < now) {
-        issued.erase(tokens.front());
+void grant_holder::state::drop_expired_tokens(time_point now) {
+    while (!tokens.empty() && issued_at.at(tokens.front()) + token_retention < now) {
+        issued_at.erase(tokens.front());
         tokens.pop_front();
     }
 }
 
 void grant_holder::state::renew(duration lease, const std::string& token) {
-    const auto it = issued.find(token);
-    if (it != issued.end()) {
+    const auto it = issued_at.find(token);
+    if (it != issued_at.end()) {
         live_until = std::max(live_until, it->second + lease);
     }
 }
@@ -52,9 +52,9 @@
 
 std::string grant_holder::issue_token(time_point now) {
     auto& it = *state_;
-    it.forget_tokens(now);
+    it.drop_expired_tokens(now);
     std::string token = std::to_string(it.random()) + "-" + std::to_string(it.tokens.size());
-    if (it.issued.emplace(token, now).second) {
+    if (it.issued_at.emplace(token, now).second) {
         it.tokens.push_back(token);
     }
     return token;
@@ -64,13 +64,13 @@
                                           const std::string& token, const std::optional<scope>& granted,
                                           time_point now) {
     auto& it = *state_;
-    it.forget_tokens(now);
-    // Versions rise within an epoch too, so a lower one is a delayed grant.
+    it.drop_expired_tokens(now);
+    // Versions rise within an epoch, so a lower one belongs to a delayed grant.
     if (epoch < it.epoch || (epoch == it.epoch && version < it.newest_version)) {
         return reply::lower_epoch;
     }
     if (epoch > it.epoch) {
-        // A lease of the former gate is unknown to the next one, which could not wait for its end.
+        // The gate of the new epoch does not know the lease of the former gate and cannot wait for its end.
         it.epoch = epoch;
         it.live_until = time_point{};
     }
--- a/src/ownership/grant_issuer.cpp
+++ b/src/ownership/grant_issuer.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// Pushes without an answer that are remembered. The callers settle each push, so only a few are ever open.
-constexpr std::size_t max_open_pushes = 64;
-// Failures in a row at which the gate reports the upstream as lost.
-constexpr std::uint32_t failures_of_lost = 2;
+// Upper bound of pending_pushes. Callers report the result of each push, so only a few are pending at a time.
+constexpr std::size_t max_pending_pushes = 64;
+// Consecutive failures after which the gate reports the upstream as lost.
+constexpr std::uint32_t failures_until_lost = 2;
 
 } // namespace
 
@@ -29,22 +29,21 @@
     time_point next_push = time_point::min();
     time_point live_until{}; ///< not min(), so that callers can subtract from it
     time_point dispatch_until = time_point::min();
-    std::deque<time_point> open_pushes; ///< ends of dispatch, in the order of sending
+    std::deque<time_point> pending_pushes; ///< dispatch_until after each unanswered push, oldest first
     std::uint32_t failures = 0;
     time_point last_failure{};
 
-    void start(epoch_number next_epoch, epoch_number next_version);
-    duration lease_of(time_point now, time_point gate_lease_end) const;
+    void start_epoch(epoch_number next_epoch, epoch_number next_version);
+    duration usable_lease(time_point now, time_point gate_lease_end) const;
     grant make_grant(duration length) const;
-    void note_sent(duration length);
+    void record_sent(duration length);
     time_point dispatch_end(duration length) const;
 };
 
-// An upstream that was reported as lost and gets a new epoch has registered again: failures from before would
-// report it as lost at once. Below the limit they are kept, so that moves do not delay the detection of a
-// loss.
-void grant_issuer::state::start(epoch_number next_epoch, epoch_number next_version) {
-    if (next_epoch > epoch && failures >= failures_of_lost) {
+// An upstream that was reported as lost and gets a new epoch has registered again: the old failures must not
+// report it as lost at once. Fewer failures are kept, so that moves do not delay the detection of a loss.
+void grant_issuer::state::start_epoch(epoch_number next_epoch, epoch_number next_version) {
+    if (next_epoch > epoch && failures >= failures_until_lost) {
         failures = 0;
     }
     epoch = next_epoch;
@@ -54,17 +53,17 @@
     accepted = false;
     next_push = time_point::min();
     dispatch_until = time_point::min();
-    open_pushes.clear();
+    pending_pushes.clear();
 }
 
-// The lease is measured from the receipt of the token, which is later than its issue, and by a clock that may
-// be slow. It is cut to whole milliseconds because the protocol states it so.
-duration grant_issuer::state::lease_of(time_point now, time_point gate_lease_end) const {
+// The lease is counted here from the receipt of the token, which is later than its issue, and on a clock that
+// may be slow, so the drift is subtracted. The protocol states leases in whole milliseconds.
+duration grant_issuer::state::usable_lease(time_point now, time_point gate_lease_end) const {
     if (token.empty() || revoking || gate_lease_end <= now) {
         return duration::zero();
     }
-    const duration room = gate_lease_end - token_received - max_clock_drift(lease);
-    const auto length = std::chrono::floor<std::chrono::milliseconds>(std::min(lease, room));
+    const duration remaining = gate_lease_end - token_received - max_clock_drift(lease);
+    const auto length = std::chrono::floor<std::chrono::milliseconds>(std::min(lease, remaining));
     return token_received + length > now ? duration(length) : duration::zero();
 }
 
@@ -77,7 +76,7 @@
     return length > duration::zero() ? token_requested + length - dispatch_margin(length) : time_point::min();
 }
 
-void grant_issuer::state::note_sent(duration length) {
+void grant_issuer::state::record_sent(duration length) {
     if (length > duration::zero()) {
         live_until = std::max(live_until, token_received + length + max_clock_drift(length));
     }
@@ -93,17 +92,17 @@
     if (it.assigned && !it.revoking && it.epoch == epoch && it.version == version) {
         return;
     }
-    it.start(epoch, version);
+    it.start_epoch(epoch, version);
     it.revoking = false;
 }
 
-// A revocation has no list of shards of its own, so its epoch, which is unique, is also its version.
+// A revocation has no list of shards; its epoch, which is unique, serves as its version.
 void grant_issuer::revoke(epoch_number epoch) {
     auto& it = *state_;
     if (it.revoking && it.epoch == epoch) {
         return;
     }
-    it.start(epoch, epoch);
+    it.start_epoch(epoch, epoch);
     it.revoking = true;
 }
 
@@ -113,10 +112,10 @@
         return std::nullopt;
     }
     it.next_push = now + it.interval;
-    const duration length = it.lease_of(now, gate_lease_end);
-    it.note_sent(length);
-    if (it.open_pushes.size() < max_open_pushes) {
-        it.open_pushes.push_back(it.dispatch_end(length));
+    const duration length = it.usable_lease(now, gate_lease_end);
+    it.record_sent(length);
+    if (it.pending_pushes.size() < max_pending_pushes) {
+        it.pending_pushes.push_back(it.dispatch_end(length));
     }
     return it.make_grant(length);
 }
@@ -124,15 +123,15 @@
 std::optional<grant_issuer::grant> grant_issuer::renew_with_request(time_point now,
                                                                     time_point gate_lease_end) {
     auto& it = *state_;
-    const duration length = it.lease_of(now, gate_lease_end);
+    const duration length = it.usable_lease(now, gate_lease_end);
     if (!it.accepted || it.superseded || length == duration::zero()) {
         return std::nullopt;
     }
-    it.note_sent(length);
+    it.record_sent(length);
     return it.make_grant(length);
 }
 
-// Without a usable token the upstream has no lease yet, so the next push does not wait for the interval.
+// Without a usable token the upstream has no lease yet, so the next push is sent at once.
 void grant_issuer::on_token(const std::string& token, time_point received,
                             std::optional<time_point> requested) {
     auto& it = *state_;
@@ -144,8 +143,8 @@
     it.token_requested = requested.value_or(received);
 }
 
-// Answers may cross. Ends of dispatch rise in the order of sending, so n answers prove at least the n-th
-// oldest.
+// Answers may arrive in another order than the pushes were sent. Since dispatch_until rises in the order of
+// sending, n answers confirm at least the value of the n-th oldest push.
 void grant_issuer::on_accepted(epoch_number epoch, epoch_number version, time_point /*now*/) {
     auto& it = *state_;
     if (epoch != it.epoch || version != it.version) {
@@ -153,9 +152,9 @@
     }
     it.failures = 0;
     it.accepted = true;
-    if (!it.open_pushes.empty()) {
-        it.dispatch_until = std::max(it.dispatch_until, it.open_pushes.front());
-        it.open_pushes.pop_front();
+    if (!it.pending_pushes.empty()) {
+        it.dispatch_until = std::max(it.dispatch_until, it.pending_pushes.front());
+        it.pending_pushes.pop_front();
     }
 }
 
@@ -165,12 +164,12 @@
     it.failures = 0;
     it.next_push = now;
     it.dispatch_until = time_point::min();
-    if (!it.open_pushes.empty()) {
-        it.open_pushes.pop_back();
+    if (!it.pending_pushes.empty()) {
+        it.pending_pushes.pop_back();
     }
 }
 
-// The upstream replaced every grant of this gate when it saw the higher epoch.
+// The higher epoch has ended every grant of this gate at the upstream.
 void grant_issuer::on_higher_epoch(epoch_number epoch, time_point now) {
     auto& it = *state_;
     if (epoch <= it.epoch) {
@@ -183,17 +182,17 @@
     it.live_until = std::min(it.live_until, now);
 }
 
-// The newest push is dropped: when an older one failed instead, dispatch merely ends earlier.
-// Changes of the assignment are pushed without waiting for the interval. Such pushes share the fate of their
-// neighbour when messages are lost or late, so pushes that fail close together count once.
+// Drops the newest pending push. If an older one failed instead, dispatch ends earlier than necessary.
+// A change of the assignment is pushed without waiting for the interval. One disturbance of the network then
+// makes several pushes fail, so failures less than half an interval apart count once.
 void grant_issuer::on_failure(time_point now) {
     auto& it = *state_;
     if (it.failures == 0 || now - it.last_failure >= it.interval / 2) {
         ++it.failures;
         it.last_failure = now;
     }
-    if (!it.open_pushes.empty()) {
-        it.open_pushes.pop_back();
+    if (!it.pending_pushes.empty()) {
+        it.pending_pushes.pop_back();
     }
 }
 
--- a/src/ownership/register_change.cpp
+++ b/src/ownership/register_change.cpp
@@ -42,10 +42,10 @@
     return static_cast<upstream_status>(found - state_names.begin());
 }
 
-void mark_referenced(std::vector<bool>& referenced, const shard_row& row) {
+void mark_referenced(std::vector<bool>& used, const shard_row& row) {
     for (const auto index : {row.owner, row.next}) {
-        if (index < referenced.size()) {
-            referenced[index] = true;
+        if (index < used.size()) {
+            used[index] = true;
         }
     }
 }
