--- a/src/ownership/plan_instances.cpp
+++ b/src/ownership/plan_instances.cpp
@@ -8,7 +8,7 @@
 
 using instance_counts = std::map<std::string, std::uint32_t>;
 
-/// Live instance with the fewest entries that is not in @p except; empty when there is none.
+/// Instance with the lowest count that is not in @p except; empty when there is none.
 std::string least_used(const instance_counts& counts, const std::vector<std::string>& except) {
     std::string best;
     for (const auto& [name, count] : counts) {
@@ -38,8 +38,8 @@
     std::string standby;
 };
 
-// The standby takes over: it already has links to the callers' entries for this upstream.
-std::vector<gate_choice> keep_live(const plan_input& input) {
+// The standby becomes the next gate: entries already have links to it for this upstream.
+std::vector<gate_choice> keep_live_gates(const plan_input& input) {
     std::vector<gate_choice> choices;
     const auto& live = input.view.live_instances;
     for (const auto& it : input.rows.upstreams) {
@@ -53,9 +53,10 @@
     return choices;
 }
 
-// Moves one entry at a time from the fullest to the emptiest instance until they differ by at most one.
-void even_out(std::vector<gate_choice>& choices, instance_counts& counts, std::string gate_choice::*role,
-              std::string gate_choice::*other) {
+// Moves one upstream at a time from the instance with the most to that with the fewest, until they differ by
+// at most one.
+void balance_role(std::vector<gate_choice>& choices, instance_counts& counts, std::string gate_choice::*role,
+                  std::string gate_choice::*other) {
     const auto by_count = [](const auto& a, const auto& b) { return a.second < b.second; };
     while (true) {
         const auto low = std::min_element(counts.begin(), counts.end(), by_count);
@@ -91,19 +92,19 @@
             }
         }
     }
-    even_out(choices, counts, role, other);
+    balance_role(choices, counts, role, other);
 }
 
-// Nothing at an upstream that does not check grants refuses a former gate, so the next one waits for the end
-// of the former one's lease. Its acknowledgements would otherwise end moves while the former gate still
-// dispatches.
+// An upstream that does not check grants does not refuse a former gate, so the next gate is assigned only
+// after the lease of the former one. Otherwise acknowledgements to the next gate would complete moves while
+// the former gate still dispatches.
 bool waits_for_former_gate(const plan_input& input, const upstream_row& row) {
     const auto until = input.view.grant_may_live_until.find(row.name);
     return !row.checks_grants && !row.gate.empty() && until != input.view.grant_may_live_until.end() &&
            input.now <= until->second;
 }
 
-/// Replicas and joining instances of every group, counted for live instances.
+/// Number of groups in which each live instance is a replica or is joining.
 instance_counts count_replicas(const plan_input& input) {
     auto counts = empty_counts(replica_instances(input));
     for (const auto& group : input.rows.ledger_groups) {
@@ -128,8 +129,8 @@
     }
 }
 
-// A group without replicas has nothing to copy. Later replicas join first, and whoever copies the window
-// promotes them.
+// The replicas of a new group have nothing to copy. Replicas that are added later join first; the leader
+// makes them replicas once they hold a copy of the window.
 ledger_group plan_group(const plan_input& input, ledger_group group, instance_counts& counts) {
     const auto& live = replica_instances(input);
     const auto lost = [&live](const std::string& it) { return live.count(it) == 0; };
@@ -156,15 +157,15 @@
     if (input.view.live_instances.empty()) {
         return;
     }
-    auto choices = keep_live(input);
+    auto choices = keep_live_gates(input);
     assign_role(choices, input, &gate_choice::gate, &gate_choice::standby);
     assign_role(choices, input, &gate_choice::standby, &gate_choice::gate);
     for (const auto& it : choices) {
-        const bool other_gate = it.gate != it.row->gate;
-        if (other_gate && waits_for_former_gate(input, *it.row)) {
+        const bool new_gate = it.gate != it.row->gate;
+        if (new_gate && waits_for_former_gate(input, *it.row)) {
             continue;
         }
-        if (other_gate || it.standby != it.row->standby) {
+        if (new_gate || it.standby != it.row->standby) {
             out.emplace_back(set_gate{it.row->name, it.gate, it.standby});
         }
     }
--- a/src/ownership/plan_shards.cpp
+++ b/src/ownership/plan_shards.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Shares are sums of a few doubles; an exact whole share must not round down.
-constexpr double rounding = 1e-9;
+// A share that is a whole number apart from floating-point error must not be rounded down.
+constexpr double rounding_tolerance = 1e-9;
 
 } // namespace
 
@@ -17,22 +17,22 @@
                                        const std::vector<std::uint32_t>& current, std::uint32_t total) {
     const double sum = std::accumulate(weights.begin(), weights.end(), 0.0);
     std::vector<std::uint32_t> shares(weights.size());
-    std::vector<double> rest(weights.size());
-    std::uint32_t left = total;
+    std::vector<double> remainders(weights.size());
+    std::uint32_t remaining = total;
     for (std::size_t n = 0; n < weights.size(); ++n) {
-        const double exact = total * weights[n] / sum;
-        shares[n] = static_cast<std::uint32_t>(std::floor(exact + rounding));
-        rest[n] = exact - shares[n];
-        left -= shares[n];
+        const double exact_share = total * weights[n] / sum;
+        shares[n] = static_cast<std::uint32_t>(std::floor(exact_share + rounding_tolerance));
+        remainders[n] = exact_share - shares[n];
+        remaining -= shares[n];
     }
     std::vector<std::size_t> order(weights.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
     std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
         const bool keeps_a = current[a] > shares[a];
         const bool keeps_b = current[b] > shares[b];
-        return keeps_a != keeps_b ? keeps_a : rest[a] > rest[b];
+        return keeps_a != keeps_b ? keeps_a : remainders[a] > remainders[b];
     });
-    for (std::size_t n = 0; n < order.size() && left > 0; ++n, --left) {
+    for (std::size_t n = 0; n < order.size() && remaining > 0; ++n, --remaining) {
         ++shares[order[n]];
     }
     return shares;
@@ -66,23 +66,23 @@
     }
 }
 
-/// Shards by position in the list of eligible upstreams.
-struct holdings {
-    std::vector<std::uint32_t> counts;               ///< shards held or on their way
-    std::vector<std::vector<std::uint32_t>> at_rest; ///< shards that can be moved away
-    std::vector<std::uint32_t> free;                 ///< shards that need an owner now
-    std::uint32_t total = 0;                         ///< shards at home here
+/// Shards of a service; `counts` and `stationary` are indexed by position in the list of eligible upstreams.
+struct shard_distribution {
+    std::vector<std::uint32_t> counts;                  ///< shards owned or moving to the upstream
+    std::vector<std::vector<std::uint32_t>> stationary; ///< shards that are not moving
+    std::vector<std::uint32_t> to_assign;               ///< shards that get a new target
+    std::uint32_t total = 0;                            ///< shards placed in this data centre
 };
 
-holdings count_holdings(const plan_input& input, const service_rows& service,
-                        const std::vector<std::uint32_t>& upstreams) {
+shard_distribution count_shards(const plan_input& input, const service_rows& service,
+                                const std::vector<std::uint32_t>& upstreams) {
     std::vector<std::size_t> position(input.weights.size(), upstreams.size());
     for (std::size_t n = 0; n < upstreams.size(); ++n) {
         position[upstreams[n]] = n;
     }
-    holdings result;
+    shard_distribution result;
     result.counts.resize(upstreams.size());
-    result.at_rest.resize(upstreams.size());
+    result.stationary.resize(upstreams.size());
     for (std::uint32_t n = 0; n < service.shards.size(); ++n) {
         const auto& row = service.shards[n];
         result.total += row.next == placed_elsewhere ? 0 : 1;
@@ -90,23 +90,23 @@
         if (index < position.size() && position[index] < upstreams.size()) {
             ++result.counts[position[index]];
             if (row.next == no_upstream) {
-                result.at_rest[position[index]].push_back(n);
+                result.stationary[position[index]].push_back(n);
             }
         } else if (input.needs_new_target(row)) {
-            result.free.push_back(n);
+            result.to_assign.push_back(n);
         }
     }
     return result;
 }
 
-// Takes from the end, so that the ranges of a grant stay long.
-void take_surplus(holdings& held, const std::vector<std::uint32_t>& shares) {
+// Takes the highest shards, so that those that stay form few ranges in a grant.
+void take_surplus(shard_distribution& distribution, const std::vector<std::uint32_t>& shares) {
     for (std::size_t n = 0; n < shares.size(); ++n) {
-        auto& at_rest = held.at_rest[n];
-        while (held.counts[n] > shares[n] && !at_rest.empty()) {
-            held.free.push_back(at_rest.back());
-            at_rest.pop_back();
-            --held.counts[n];
+        auto& stationary = distribution.stationary[n];
+        while (distribution.counts[n] > shares[n] && !stationary.empty()) {
+            distribution.to_assign.push_back(stationary.back());
+            stationary.pop_back();
+            --distribution.counts[n];
         }
     }
 }
@@ -125,13 +125,14 @@
     for (const auto index : upstreams) {
         weights.push_back(input.weights[index]);
     }
-    auto held = count_holdings(input, service, upstreams);
-    const auto shares = fair_shares(weights, held.counts, held.total);
-    take_surplus(held, shares);
-    std::sort(held.free.begin(), held.free.end());
-    auto next = held.free.begin();
+    auto distribution = count_shards(input, service, upstreams);
+    const auto shares = fair_shares(weights, distribution.counts, distribution.total);
+    take_surplus(distribution, shares);
+    std::sort(distribution.to_assign.begin(), distribution.to_assign.end());
+    auto next = distribution.to_assign.begin();
     for (std::size_t n = 0; n < shares.size(); ++n) {
-        for (; held.counts[n] < shares[n] && next != held.free.end(); ++next, ++held.counts[n]) {
+        for (; distribution.counts[n] < shares[n] && next != distribution.to_assign.end();
+             ++next, ++distribution.counts[n]) {
             moves.add_begin(input.rows.upstreams[upstreams[n]].name, *next);
         }
     }
--- a/src/ownership/planner.cpp
+++ b/src/ownership/planner.cpp
@@ -31,8 +31,8 @@
     return static_cast<double>(row.slots) * std::min(step, steps) / steps;
 }
 
-// The end of a grant is known by the upstream's name. While a former incarnation may hold one, granting
-// shards to the next incarnation would keep extending that end.
+// The end of a grant is recorded by the name of the upstream. While a former incarnation may hold a grant,
+// shards granted to the next incarnation would keep extending that end.
 void plan_input::exclude_returned_incarnations() {
     std::set<std::uint32_t> owners;
     for (const auto& [name, service] : rows.services) {
@@ -55,8 +55,8 @@
     }
 }
 
-// Versions count only for an upstream that is not lost: those of its next incarnation say nothing about its
-// grants.
+// Acknowledged versions are used only for an upstream that is not lost: a later incarnation's versions say
+// nothing about the grants of a lost one.
 bool plan_input::grant_ended(const shard_row& row) const {
     if (row.owner >= rows.upstreams.size()) {
         return true;
@@ -106,7 +106,7 @@
 
 namespace {
 
-// An upstream that answered its gate is ready for shards.
+// An upstream becomes active once it has acknowledged its row's version to its gate.
 void plan_conditions(const plan_input& input, std::vector<command>& out) {
     for (const auto& it : input.rows.upstreams) {
         const auto acknowledged = input.view.acknowledged_version.find(it.name);
--- a/src/ownership/planning.h
+++ b/src/ownership/planning.h
@@ -6,7 +6,7 @@
 
 namespace kingcupseam::ownership {
 
-/// Inputs of one plan, with what is derived from them once.
+/// Inputs of one plan, and values derived from them.
 struct plan_input {
     plan_input(const table& current, const cluster_view& seen, time_point at, const planner_options& options);
 
@@ -14,16 +14,16 @@
     const cluster_view& view;
     time_point now;
     const planner_options& settings;
-    /// Weight by upstream index: slots after the ramp; 0 for an upstream that gets no shards.
+    /// Weight by upstream index: its slots, reduced during the ramp; 0 for an upstream that gets no shards.
     std::vector<double> weights;
 
-    /// True once no grant can let the owner of @p row run it any more.
+    /// True once the owner of @p row cannot hold a grant for it any more.
     bool grant_ended(const shard_row& row) const;
-    /// Upstream that has the row or is to get it; no_upstream when it is free or not at home here.
+    /// Target of the move in progress, else the owner; no_upstream without one, or when placed elsewhere.
     std::uint32_t intended_owner(const shard_row& row) const;
-    /// True when @p row needs another target now: no holder that may keep it, and no grant to wait for.
+    /// True when the intended owner of @p row may not keep it and no grant has to end first.
     bool needs_new_target(const shard_row& row) const;
-    /// Upstreams of the service that may get shards.
+    /// Indexes of the upstreams of the service that may get shards.
     std::vector<std::uint32_t> eligible_upstreams(const std::string& service) const;
 
 private:
@@ -31,7 +31,7 @@
     void exclude_returned_incarnations();
 };
 
-/// Collects moves of one service by target.
+/// Moves of one service, grouped by target.
 class move_list {
 public:
     explicit move_list(std::string service) : service_(std::move(service)) {}
@@ -43,7 +43,7 @@
     void add_completion(const std::string& to, const std::string& key) {
         completions_[to].hot_keys.push_back(key);
     }
-    /// Appends one command per target; completions come first, since their keys are without owner.
+    /// Appends one command per target; completions come first, since their shards are not served meanwhile.
     void append_to(std::vector<command>& out) const;
 
 private:
@@ -56,15 +56,16 @@
     std::map<std::string, moves> completions_;
 };
 
-/// Shards that each weight is due: the exact share rounded down or up, rounded up first where @p current
-/// already has more, which needs the fewest moves.
+/// Divides @p total in proportion to the weights. Exact shares are rounded down, and what remains goes first
+/// to those that already have more in @p current, which needs the fewest moves, then to the largest
+/// remainders.
 std::vector<std::uint32_t> fair_shares(const std::vector<double>& weights,
                                        const std::vector<std::uint32_t>& current, std::uint32_t total);
 
 void plan_shards(const plan_input& input, const std::string& name, const service_rows& service,
                  move_list& moves);
 
-/// Moves single hot keys with a limit per period; remembers its recent moves.
+/// Moves hot keys, limited to planner_options::max_hot_key_moves per period.
 class hot_key_planner {
 public:
     void plan(const plan_input& input, const std::string& name, const service_rows& service,
@@ -72,13 +73,14 @@
 
 private:
     struct loads;
-    bool take_budget(const plan_input& input);
-    void rescue(const plan_input& input, const service_rows& service, loads& seen, move_list& moves) const;
-    void spread(const plan_input& input, const service_rows& service, loads& seen, move_list& moves);
-    void return_cold(const plan_input& input, const std::string& name, const service_rows& service,
-                     const loads& seen, move_list& moves);
-
-    std::deque<time_point> recent_;
+    bool use_move_budget(const plan_input& input);
+    void reassign_unserved(const plan_input& input, const service_rows& service, loads& load,
+                           move_list& moves) const;
+    void spread_load(const plan_input& input, const service_rows& service, loads& load, move_list& moves);
+    void return_cold_keys(const plan_input& input, const std::string& name, const service_rows& service,
+                          const loads& load, move_list& moves);
+
+    std::deque<time_point> recent_moves_;
     std::map<std::pair<std::string, std::string>, time_point> cold_since_;
 };
 
