--- a/src/ownership/table_codec.cpp
+++ b/src/ownership/table_codec.cpp
@@ -9,12 +9,12 @@
 
 constexpr const char* table_source = "table";
 
-// no_upstream is the most frequent value of `next`; adding one makes it zero, which takes one byte.
-std::int64_t pack(std::uint32_t index) {
+// Indexes are raised by one: no_upstream, the most frequent value of `next`, becomes zero and takes one byte.
+std::int64_t pack_index(std::uint32_t index) {
     return static_cast<std::uint32_t>(index + 1U);
 }
 
-std::uint32_t unpack(std::int64_t value) {
+std::uint32_t unpack_index(std::int64_t value) {
     if (value < 0 || value > static_cast<std::int64_t>(no_upstream)) {
         throw invalid_input(table_source, "index", "must fit 32 bits");
     }
@@ -22,7 +22,7 @@
 }
 
 template <typename Field>
-std::vector<wire::Run> to_runs(const std::vector<shard_row>& rows, Field field) {
+std::vector<wire::Run> encode_runs(const std::vector<shard_row>& rows, Field field) {
     std::vector<wire::Run> runs;
     for (std::size_t n = 0; n < rows.size();) {
         std::size_t end = n + 1;
@@ -40,7 +40,7 @@
 }
 
 template <typename Assign>
-void from_runs(const std::vector<wire::Run>& runs, std::vector<shard_row>& rows, Assign assign) {
+void decode_runs(const std::vector<wire::Run>& runs, std::vector<shard_row>& rows, Assign assign) {
     std::size_t n = 0;
     for (const auto& it : runs) {
         const std::int64_t count = it.__isset.count ? it.count : 1;
@@ -60,20 +60,21 @@
     wire::ServiceRows out;
     out.name = name;
     out.shards = static_cast<std::int32_t>(service.shards.size());
-    out.owners = to_runs(service.shards, [](const shard_row& it) { return pack(it.owner); });
-    out.targets = to_runs(service.shards, [](const shard_row& it) { return pack(it.next); });
-    out.epochs = to_runs(service.shards, [](const auto& it) { return static_cast<std::int64_t>(it.epoch); });
+    out.owners = encode_runs(service.shards, [](const shard_row& it) { return pack_index(it.owner); });
+    out.targets = encode_runs(service.shards, [](const shard_row& it) { return pack_index(it.next); });
+    out.epochs =
+        encode_runs(service.shards, [](const auto& it) { return static_cast<std::int64_t>(it.epoch); });
     for (const auto& [key, row] : service.hot_keys) {
         auto& it = out.hot_keys.emplace_back();
         it.key = key;
-        it.owner = pack(row.owner);
-        it.target = pack(row.next);
+        it.owner = pack_index(row.owner);
+        it.target = pack_index(row.next);
         it.epoch = static_cast<std::int64_t>(row.epoch);
     }
     return out;
 }
 
-// The limit holds for all services together, since a run of shards takes few bytes.
+// max_shards limits all services together: a short input can state a long run of shards for each of them.
 service_rows from_wire(const wire::ServiceRows& in, std::size_t& shards_left) {
     if (in.shards < 0 || static_cast<std::size_t>(in.shards) > shards_left) {
         throw invalid_input(table_source, "shards",
@@ -82,24 +83,25 @@
     shards_left -= static_cast<std::size_t>(in.shards);
     service_rows service;
     service.shards.resize(static_cast<std::size_t>(in.shards));
-    from_runs(in.owners, service.shards, [](auto& it, auto value) { it.owner = unpack(value); });
-    from_runs(in.targets, service.shards, [](auto& it, auto value) { it.next = unpack(value); });
-    from_runs(in.epochs, service.shards,
-              [](auto& it, auto value) { it.epoch = static_cast<epoch_number>(value); });
+    decode_runs(in.owners, service.shards, [](auto& it, auto value) { it.owner = unpack_index(value); });
+    decode_runs(in.targets, service.shards, [](auto& it, auto value) { it.next = unpack_index(value); });
+    decode_runs(in.epochs, service.shards,
+                [](auto& it, auto value) { it.epoch = static_cast<epoch_number>(value); });
     for (const auto& it : in.hot_keys) {
-        const shard_row row{unpack(it.owner), unpack(it.target), static_cast<epoch_number>(it.epoch)};
+        const shard_row row{unpack_index(it.owner), unpack_index(it.target),
+                            static_cast<epoch_number>(it.epoch)};
         service.hot_keys.emplace(it.key, row);
     }
     return service;
 }
 
-bool known_index(std::uint32_t index, std::size_t upstreams) {
+bool valid_index(std::uint32_t index, std::size_t upstreams) {
     return index < upstreams || index == no_upstream;
 }
 
 void check_indexes(const table& rows) {
     const auto check = [n = rows.upstreams.size()](const shard_row& it) {
-        if (!known_index(it.owner, n) || (it.next != placed_elsewhere && !known_index(it.next, n))) {
+        if (!valid_index(it.owner, n) || (it.next != placed_elsewhere && !valid_index(it.next, n))) {
             throw invalid_input(table_source, "index", "unknown upstream index");
         }
     };
--- a/src/ownership/table_codec.h
+++ b/src/ownership/table_codec.h
@@ -6,7 +6,8 @@
 
 namespace kingcupseam::ownership {
 
-/// Largest number of shards of all services that is decoded; bounds the memory that a short input can claim.
+/// Decoding accepts at most this many shards over all services, which bounds the memory that a short input
+/// can claim.
 inline constexpr std::uint32_t max_shards = 1U << 20U;
 
 wire::UpstreamRow to_wire(const upstream_row& row);
