--- a/src/ownership/command_codec.cpp
+++ b/src/ownership/command_codec.cpp
@@ -96,10 +96,10 @@
     if (in.shards < 0 || static_cast<std::uint32_t>(in.shards) > max_shards) {
         throw invalid_input(command_source, "shards", "must be 0 to " + std::to_string(max_shards));
     }
-    const auto homes = from_deltas(in.homes);
+    const auto placed = from_deltas(in.homes);
     return {from_wire(command_source, in.row),
             static_cast<std::uint32_t>(in.shards),
-            {homes.begin(), homes.end()}};
+            {placed.begin(), placed.end()}};
 }
 
 set_condition from_wire_change(const wire::SetCondition& in) {
--- a/tests/ownership/assignment_test.cpp
+++ b/tests/ownership/assignment_test.cpp
@@ -18,7 +18,7 @@
     return {row, shards, {}};
 }
 
-/// Applies commands at rising indexes, as the log does.
+/// Applies commands at increasing indexes, as the replicated log does.
 struct command_log {
     assignment_state state{"dc1", 3};
     std::uint64_t index = 0;
@@ -31,7 +31,7 @@
     }
 };
 
-/// A key of the shard, among 8 shards.
+/// A key that belongs to @p shard of 8 shards.
 std::string key_in(std::uint32_t shard) {
     for (int n = 0;; ++n) {
         auto key = std::to_string(n);
@@ -88,7 +88,7 @@
     }
 }
 
-TEST_CASE("a lost upstream gets nothing back without a higher epoch") {
+TEST_CASE("a lost upstream gets its shards back only under a higher epoch") {
     command_log it;
     it.apply(announce("a", 1));
     it.apply(announce("b", 1));
@@ -105,12 +105,12 @@
         CHECK_FALSE(it.apply(set_condition{"a", 1, upstream_status::lost, lost_epoch}));
         CHECK(it.apply(set_condition{"a", 1, upstream_status::lost, it.rows().find("a")->epoch}));
     }
-    SUBCASE("the same process returns to its shards under a higher epoch") {
+    SUBCASE("the same incarnation gets its shards back under a higher epoch") {
         REQUIRE(it.apply(announce("a", 1)));
         CHECK(it.rows().find("a")->epoch > epoch);
         CHECK(it.rows().owner_of("registry", 0, "k")->name == "a");
     }
-    SUBCASE("a new incarnation starts without shards, and the former one keeps its row until they moved") {
+    SUBCASE("a new incarnation starts without shards; the former one keeps its row until its shards moved") {
         REQUIRE(it.apply(announce("a", 2)));
         CHECK(it.rows().find("a")->incarnation == 2);
         CHECK(scope_of(it.rows(), *it.rows().find("a")).empty());
@@ -120,14 +120,14 @@
         CHECK(it.rows().upstreams.size() == 3);
         CHECK(it.rows().upstreams[0].name == "c");
     }
-    SUBCASE("a new incarnation that announces itself before the loss was seen ends the former one") {
+    SUBCASE("a new incarnation replaces the former one even before its loss is noticed") {
         REQUIRE(it.apply(announce("b", 2)));
         CHECK(it.rows().find("b")->incarnation == 2);
         CHECK_FALSE(it.apply(set_condition{"b", 1, upstream_status::draining}));
     }
 }
 
-TEST_CASE("a hot key is owned apart from its shard") {
+TEST_CASE("a hot key has an owner of its own") {
     command_log it;
     it.apply(announce("a", 1));
     it.apply(announce("b", 1));
@@ -141,11 +141,11 @@
     CHECK(it.rows().owner_of("registry", 5, key)->name == "b");
     CHECK(scope_of(it.rows(), *it.rows().find("b")).hot_keys.count(key) == 1);
 
-    SUBCASE("it stays where it is while its shard moves") {
+    SUBCASE("the hot key keeps its owner while its shard moves") {
         REQUIRE(it.apply(begin_move{"registry", {5}, {}, "b"}));
         CHECK(it.rows().owner_of("registry", 5, key)->name == "b");
     }
-    SUBCASE("its row ends when it returns to the owner of the shard") {
+    SUBCASE("the row of the hot key is removed when it returns to the owner of its shard") {
         it.apply(begin_move{"registry", {}, {key}, "a"});
         it.apply(complete_move{"registry", {}, {key}, "a"});
         CHECK(it.rows().services.at("registry").hot_keys.empty());
@@ -153,20 +153,20 @@
     }
 }
 
-TEST_CASE("shards that are at home elsewhere have no owner here") {
+TEST_CASE("shards that are placed in another data centre have no owner here") {
     command_log it;
     it.apply(announce("a", 1));
     it.own("a", {0, 1});
     REQUIRE(it.apply(set_placement{"registry", {0}}));
     CHECK(it.rows().owner_of("registry", 0, "k")->name == "a");
     CHECK(it.rows().owner_of("registry", 1, "k") == nullptr);
-    SUBCASE("the owner is taken only once its grant has ended") {
+    SUBCASE("the owner is removed only once its grant has ended") {
         CHECK(it.rows().services.at("registry").shards[1].owner == 0);
         CHECK(it.apply(complete_move{"registry", {1, 2}, {}, ""}));
         CHECK(it.rows().services.at("registry").shards[1].owner == no_upstream);
         CHECK_FALSE(it.apply(begin_move{"registry", {1}, {}, "a"}));
     }
-    SUBCASE("a home that returns early still waits for the end of the former grant") {
+    SUBCASE("a shard that is placed here again early still waits for the end of the former grant") {
         REQUIRE(it.apply(set_placement{"registry", {0, 1}}));
         CHECK(it.rows().owner_of("registry", 1, "k") == nullptr);
         CHECK(it.apply(complete_move{"registry", {1}, {}, "a"}));
@@ -174,7 +174,7 @@
     }
 }
 
-TEST_CASE("epochs of a later generation are higher than all of the former one") {
+TEST_CASE("epochs of a later generation are higher than all epochs of a former one") {
     CHECK(make_epoch(4, 1) > make_epoch(3, 1ULL << 39U));
     CHECK(make_epoch(3, 2) > make_epoch(3, 1));
 }
@@ -183,7 +183,8 @@
     std::mt19937 random(7);
     assignment_state first("dc1", 1);
     assignment_state second("dc1", 1);
-    std::vector<std::shared_ptr<const table>> held; // makes one replica copy, the other change in place
+    std::vector<std::shared_ptr<const table>>
+        held; // forces copies at the first replica, while the second changes its table in place
     epoch_number highest = 0;
     for (std::uint64_t index = 1; index <= 3000; ++index) {
         const auto name = "u" + std::to_string(random() % 5);
@@ -256,7 +257,7 @@
     }
 }
 
-// Guards against new work for an upstream that drains, when a grant that it accepted before is reported late.
+// Guards against new shards for a draining upstream after the late report of a grant that it accepted before.
 TEST_CASE("only an announcement as active ends a drain") {
     command_log it;
     it.apply(announce("a", 1));
--- a/tests/ownership/grant_test.cpp
+++ b/tests/ownership/grant_test.cpp
@@ -12,7 +12,7 @@
 const auto never = time_point::max();
 const grant_holder::scope low_shards{{{0, 9}}, {"hot"}, {"moved"}};
 
-/// Hands one push to the holder and its answer back to the issuer.
+/// Delivers one push to the upstream and its answer to the gate, without delay.
 void exchange(grant_issuer& gate, grant_holder& upstream, time_point now, time_point gate_lease_end) {
     const auto sent = gate.poll(now, gate_lease_end);
     if (!sent) {
@@ -47,8 +47,8 @@
         CHECK(upstream.check(5, 3, "moved", start) == grant_refusal::not_granted);
         CHECK(upstream.check(4, 3, "k", start) == grant_refusal::lower_epoch);
     }
-    SUBCASE("dispatch stops before the lease ends, and the bound of the gate is not earlier than the "
-            "upstream's") {
+    SUBCASE("dispatch stops before the lease ends, and the gate never assumes an earlier end than the "
+            "upstream") {
         CHECK_FALSE(gate.may_dispatch(start + 600ms - dispatch_margin(600ms)));
         CHECK(gate.may_dispatch(start + 600ms - dispatch_margin(600ms) - 1us));
         CHECK(gate.may_live_until() >= upstream.live_until());
@@ -62,7 +62,7 @@
         CHECK(gate.revoked(start + 1ms));
         CHECK(upstream.check(7, 3, "k", start + 1ms) != grant_refusal::none);
     }
-    SUBCASE("a revocation without an answer ends when the grant has surely expired") {
+    SUBCASE("a revocation without an answer ends once the grant must have expired") {
         gate.revoke(7);
         CHECK(gate.poll(start + 1ms, start + 10s)->revoke);
         gate.on_failure(start + 2ms);
@@ -85,7 +85,7 @@
     CHECK(upstream.receive(5, 4, 600ms, token, std::nullopt, start + 900ms) == grant_holder::reply::accepted);
     CHECK(upstream.check(5, 3, "k", start + 900ms) == grant_refusal::no_lease);
 
-    SUBCASE("a token from before another start or older than a minute grants nothing") {
+    SUBCASE("an unknown token, or one older than a minute, does not extend the grant") {
         upstream.receive(5, 4, 600ms, "unknown", std::nullopt, start + 1s);
         CHECK(upstream.live_until() == start + 600ms);
         upstream.receive(5, 4, 600s, token, std::nullopt, start + 61s);
@@ -142,8 +142,8 @@
     CHECK(gate.poll(start + 20ms, start + 10s)->with_shards);
 }
 
-// Guards against an upstream that is reported as lost by one short disturbance, or at once after it
-// registered again.
+// Guards against reporting an upstream as lost after one short disturbance of the network, or because of old
+// failures right after it registered again.
 TEST_CASE("failures count as missed renewals, not as single pushes") {
     grant_issuer gate(600ms, 150ms);
     gate.assign(5, 5);
@@ -157,12 +157,12 @@
     SUBCASE("the next renewal counts") {
         gate.on_failure(start + 260ms);
         CHECK(gate.failures() == 2);
-        SUBCASE("until the upstream has registered again") {
+        SUBCASE("a new epoch after the upstream registered again resets the count") {
             gate.assign(7, 7);
             CHECK(gate.failures() == 0);
         }
     }
-    SUBCASE("a move does not hide the first missed renewal") {
+    SUBCASE("a move does not reset the first missed renewal") {
         gate.assign(7, 7);
         CHECK(gate.failures() == 1);
     }
--- a/tests/ownership/planner_test.cpp
+++ b/tests/ownership/planner_test.cpp
@@ -12,7 +12,7 @@
 
 const time_point start{std::chrono::hours(1)};
 
-/// A group whose grants end at once unless the view says otherwise.
+/// A data centre group in which no grant is live unless a test sets an end in the view.
 struct group {
     assignment_state state{"dc1", 1};
     std::uint64_t index = 0;
@@ -41,7 +41,7 @@
         row.condition = upstream_status::active;
         REQUIRE(apply(register_upstream{row, 96, {}}));
     }
-    /// One plan. @returns the number of its commands
+    /// Makes one plan and applies it. @returns the number of its commands
     std::size_t plan() {
         const auto commands = plans->plan(rows(), view, now);
         for (const auto& it : commands) {
@@ -88,7 +88,7 @@
         CHECK(it.count("d") == 32);
         CHECK(it.shards_moved == 32);
     }
-    SUBCASE("the shards of a lost upstream wait for the end of its grant, then only they move") {
+    SUBCASE("the shards of a lost upstream move only after the end of its grant, and no others") {
         it.view.grant_may_live_until["a"] = start + 100ms;
         it.apply(set_condition{"a", 1, upstream_status::lost});
         it.settle();
@@ -102,7 +102,7 @@
         CHECK(it.count("b") == 32);
         CHECK(it.count("c") == 64);
     }
-    SUBCASE("a draining upstream loses its shards once it acknowledged") {
+    SUBCASE("the shards of a draining upstream move once it has acknowledged the new version") {
         it.view.grant_may_live_until["a"] = start + 1s;
         const auto former_version = it.rows().find("a")->version;
         it.apply(set_condition{"a", 1, upstream_status::draining});
@@ -118,7 +118,7 @@
         it.settle();
         CHECK(it.count("b") == 32);
     }
-    SUBCASE("a next incarnation gets nothing while the former one may hold a grant") {
+    SUBCASE("a new incarnation gets no shards while the former one may hold a grant") {
         it.view.grant_may_live_until["a"] = start + 1s;
         it.announce("a", 2, 2);
         it.view.acknowledged_version["a"] = it.rows().find("a")->version;
@@ -141,7 +141,7 @@
     }
 }
 
-TEST_CASE("a joining upstream gets its share in steps, because it starts cold") {
+TEST_CASE("a joining upstream with cold caches gets its share in steps") {
     group it;
     it.settings.ramp = 5s;
     it.plans = make_fewest_moves_planner(it.settings);
@@ -194,7 +194,7 @@
         CHECK(std::abs(gates_of("i2") - gates_of("i3")) <= 1);
         CHECK(it.shards_moved == 0);
     }
-    SUBCASE("a new instance takes a fair part") {
+    SUBCASE("a new instance gets an equal share with few changes") {
         it.view.live_instances.insert("i4");
         it.settle();
         CHECK(gates_of("i4") == 2);
@@ -225,7 +225,7 @@
     CHECK(it.rows().find("a")->gate != former);
 }
 
-TEST_CASE("hot keys move alone, where it helps, within their limit") {
+TEST_CASE("hot keys move without their shard, only where it balances the load, and within their limit") {
     group it;
     for (const auto* name : {"a", "b", "c"}) {
         it.announce(name);
@@ -238,17 +238,17 @@
         }
     }
     it.shards_moved = 0;
-    SUBCASE("a single hot key stays: it would only move the load") {
+    SUBCASE("a single hot key stays, because moving it would not balance the load") {
         it.view.hot_keys = {{"s", keys[0], 1000}};
         CHECK(it.plan() == 0);
     }
-    SUBCASE("two hot keys of one upstream are parted") {
+    SUBCASE("two hot keys of one upstream are separated") {
         it.view.hot_keys = {{"s", keys[0], 1000}, {"s", keys[1], 900}};
         it.settle();
         CHECK(it.keys_moved == 1);
         CHECK(it.shards_moved == 0);
         CHECK(it.rows().services.at("s").hot_keys.size() == 1);
-        SUBCASE("a key that is cold for a period returns") {
+        SUBCASE("a key without load for a period returns to the owner of its shard") {
             const auto moved = it.rows().services.at("s").hot_keys.begin()->first;
             it.view.hot_keys = {{"s", moved == keys[0] ? keys[1] : keys[0], 1000}};
             it.plan();
@@ -256,7 +256,7 @@
             it.settle();
             CHECK(it.rows().services.at("s").hot_keys.empty());
         }
-        SUBCASE("a key whose owner is lost moves on") {
+        SUBCASE("a key whose owner is lost gets another owner") {
             const auto moved = it.rows().services.at("s").hot_keys.begin()->first;
             const std::string owner = it.rows().owner_of("s", shard_of(moved, 96), moved)->name;
             it.apply(set_condition{owner, 1, upstream_status::lost});
@@ -264,7 +264,7 @@
             CHECK(it.rows().owner_of("s", shard_of(moved, 96), moved) != nullptr);
         }
     }
-    SUBCASE("no more than the limit in one period") {
+    SUBCASE("at most max_hot_key_moves keys move in one period") {
         for (const auto& key : keys) {
             it.view.hot_keys.push_back({"s", key, 100});
         }
@@ -277,7 +277,7 @@
     }
 }
 
-TEST_CASE("a ledger group replaces a lost replica by one that joins first") {
+TEST_CASE("a ledger group that loses a replica gets a joining instance") {
     group it;
     it.view.live_instances = {"i1", "i2", "i3", "i4", "i5"};
     it.announce("a");
--- a/tests/ownership/scenario_test.cpp
+++ b/tests/ownership/scenario_test.cpp
@@ -1,4 +1,4 @@
-#include "ownership/world.h"
+#include "ownership/simulation.h"
 #include "support/scenario.h"
 
 #include <doctest/doctest.h>
@@ -14,30 +14,30 @@
 }
 
 /// Interprets the steps of tests/scenarios/ownership_*.toml.
-class player {
+class scenario_runner {
 public:
-    player(const kingcupseam::test::scenario& script, std::uint64_t seed, faults broken)
-        : script_(script), world_(options_of(script, seed, broken)), expect_(true) {}
+    scenario_runner(const kingcupseam::test::scenario& script, std::uint64_t seed, faults injected)
+        : script_(script), simulation_(options_of(script, seed, injected)), expect_(true) {}
 
-    /// @param expect whether the expect_* steps are checked; a broken variant may miss them
-    const world& play(bool expect) {
+    /// @param expect whether the expect_* steps are checked; with an injected fault they may fail
+    const simulation& run_steps(bool expect) {
         expect_ = expect;
         for (const auto& it : script_.steps) {
             CAPTURE(it.verb);
             act(it);
         }
-        return world_;
+        return simulation_;
     }
 
 private:
-    static world_options options_of(const kingcupseam::test::scenario& script, std::uint64_t seed,
-                                    faults broken) {
-        world_options options;
+    static simulation_options options_of(const kingcupseam::test::scenario& script, std::uint64_t seed,
+                                         faults injected) {
+        simulation_options options;
         options.seed = seed;
         options.loss = toml::find_or(script.setup, "loss", options.loss);
         options.planning.ramp = duration::zero();
         options.planning.ledger_group_count = 2;
-        options.broken = broken;
+        options.injected = injected;
         return options;
     }
 
@@ -45,37 +45,37 @@
         const auto name = it.text("name");
         if (it.verb == "gates") {
             for (const auto& gate : it.list("names")) {
-                world_.add_gate(gate);
+                simulation_.add_gate(gate);
             }
         } else if (it.verb == "upstreams") {
             for (const auto& upstream : it.list("names")) {
-                world_.add_upstream(upstream, static_cast<std::uint64_t>(it.number("incarnation", 1)),
-                                    it.text("checks_grants", "yes") == "yes");
+                simulation_.add_upstream(upstream, static_cast<std::uint64_t>(it.number("incarnation", 1)),
+                                         it.text("checks_grants", "yes") == "yes");
             }
         } else if (it.verb == "stop") {
-            world_.stop(name);
+            simulation_.stop(name);
         } else if (it.verb == "pause") {
-            world_.pause(name);
+            simulation_.pause(name);
         } else if (it.verb == "resume") {
-            world_.resume(name);
+            simulation_.resume(name);
         } else if (it.verb == "drain") {
-            world_.drain(name);
+            simulation_.drain(name);
         } else if (it.verb == "cut") {
             for (const auto& other : it.list("from")) {
-                world_.cut(name, other);
+                simulation_.cut(name, other);
             }
         } else if (it.verb == "cut_off_with_gate") {
-            world_.cut_off_with_gate(name);
+            simulation_.cut_off_with_gate(name);
         } else if (it.verb == "heal") {
-            world_.heal();
+            simulation_.heal();
         } else if (it.verb == "change_leader") {
-            world_.change_leader(ms(it.number("election_ms", 300)));
+            simulation_.change_leader(ms(it.number("election_ms", 300)));
         } else if (it.verb == "network") {
-            world_.set_network(ms(it.number("max_delay_ms")),
-                               static_cast<double>(it.number("loss_percent")) / 100,
-                               static_cast<double>(it.number("held_percent", 2)) / 100);
+            simulation_.set_network(ms(it.number("max_delay_ms")),
+                                    static_cast<double>(it.number("loss_percent")) / 100,
+                                    static_cast<double>(it.number("held_percent", 2)) / 100);
         } else if (it.verb == "hot_key") {
-            world_.set_hot_keys({{service_name, name, 500}, {service_name, it.text("second"), 400}});
+            simulation_.set_hot_keys({{service_name, name, 500}, {service_name, it.text("second"), 400}});
         } else {
             wait(it);
         }
@@ -85,32 +85,34 @@
         const auto name = it.text("name");
         auto within = ms(it.number("within_ms", 1000));
         if (it.verb == "run") {
-            world_.run(ms(it.number("ms")));
+            simulation_.run(ms(it.number("ms")));
         } else if (it.verb == "until_moving") {
-            expect(world_.run_until([&] { return world_.moving(); }, within));
+            expect(simulation_.run_until([&] { return simulation_.moving(); }, within));
         } else if (it.verb == "expect_served") {
-            expect(world_.run_until([&] { return world_.served() == 24; }, within));
+            expect(simulation_.run_until([&] { return simulation_.served() == 24; }, within));
         } else if (it.verb == "expect_none_owned") {
-            expect(world_.run_until([&] { return world_.owned_by(name) == 0 && !world_.moving(); }, within));
+            expect(simulation_.run_until(
+                [&] { return simulation_.owned_by(name) == 0 && !simulation_.moving(); }, within));
         } else if (it.verb == "expect_owned") {
-            // Two missed renewals mark an upstream as lost, whatever the reason; it then has to come back.
-            if (world_.missed_renewals(name)) {
+            // Two missed renewals mark an upstream as lost, whatever the reason; it then has to register
+            // again.
+            if (simulation_.missed_renewals(name)) {
                 within = std::max(within, ms(it.number("after_missed_renewals_ms", 0)));
             }
-            expect(world_.run_until([&] { return world_.owned_by(name) > 0; }, within));
+            expect(simulation_.run_until([&] { return simulation_.owned_by(name) > 0; }, within));
         } else if (it.verb == "expect_hot_key_apart") {
-            expect(world_.run_until([&] { return hot_keys_at_rest(); }, within));
+            expect(simulation_.run_until([&] { return hot_keys_at_rest(); }, within));
         } else if (it.verb == "expect_idle") {
-            const auto before = world_.started_by(name);
-            world_.run(ms(it.number("ms")));
-            expect(world_.started_by(name) == before);
+            const auto before = simulation_.started_by(name);
+            simulation_.run(ms(it.number("ms")));
+            expect(simulation_.started_by(name) == before);
         } else {
             FAIL("unknown step " << it.verb);
         }
     }
 
     bool hot_keys_at_rest() const {
-        const auto& keys = world_.rows().services.at(service_name).hot_keys;
+        const auto& keys = simulation_.rows().services.at(service_name).hot_keys;
         return !keys.empty() && keys.begin()->second.next == no_upstream;
     }
 
@@ -121,21 +123,21 @@
     }
 
     const kingcupseam::test::scenario& script_;
-    world world_;
+    simulation simulation_;
     bool expect_;
 };
 
 constexpr std::uint64_t seeds_per_scenario = 5;
-// A delayed grant must meet a move for its fault to show, which takes more tries.
+// A fault shows only if, for example, a delayed grant coincides with a move, which takes more seeds.
 constexpr std::uint64_t seeds_per_fault = 20;
 
-/// True when a scenario shows the broken variant with one of the seeds.
-bool detects(const std::string& name, const faults& broken) {
+/// True when a scenario reports a violation for the injected fault with one of the seeds.
+bool detects(const std::string& name, const faults& injected) {
     const auto script = kingcupseam::test::load_scenario(
         std::string(KINGCUPSEAM_SOURCE_DIR "/tests/scenarios/ownership_") + name + ".toml");
     for (std::uint64_t seed = 1; seed <= seeds_per_fault; ++seed) {
-        player it(script, seed, broken);
-        if (!it.play(false).violations().empty()) {
+        scenario_runner it(script, seed, injected);
+        if (!it.run_steps(false).violations().empty()) {
             return true;
         }
     }
@@ -157,21 +159,21 @@
         }
         for (const auto seed : seeds) {
             CAPTURE(seed);
-            player it(script, seed, {});
-            const auto& played = it.play(true);
-            CHECK(played.started() > 100);
-            for (const auto& violation : played.violations()) {
+            scenario_runner it(script, seed, {});
+            const auto& finished = it.run_steps(true);
+            CHECK(finished.started() > 100);
+            for (const auto& violation : finished.violations()) {
                 FAIL_CHECK(violation);
             }
         }
     }
 }
 
-TEST_CASE("the checks find deliberately broken variants") {
+TEST_CASE("the checks detect injected faults") {
     SUBCASE("a lease counted from the receipt of the grant") {
         CHECK(detects("frozen_upstream_returns", {.lease_from_receipt = true}));
     }
-    SUBCASE("moves completed while the old grant may be live") {
+    SUBCASE("moves completed while the grant of the former owner may be live") {
         CHECK(detects("move_during_loss", {.complete_without_wait = true}));
     }
     SUBCASE("grants of lower epochs accepted") {
--- a/tests/ownership/world.h
+++ b/tests/ownership/simulation.h
@@ -7,32 +7,32 @@
 
 namespace kingcupseam::ownership::test {
 
-/// Deliberate faults. Each must be found by the checks of the world; the code under test has no such
-/// switches.
+/// Faults that a test injects into the simulation, to show that its checks detect them. The code under test
+/// has no such switches.
 struct faults {
     bool lease_from_receipt = false;     ///< upstreams count a lease from the receipt of the grant
-    bool complete_without_wait = false;  ///< the leader takes every grant as ended
+    bool complete_without_wait = false;  ///< the leader completes moves without waiting for grants to end
     bool ignore_epochs = false;          ///< upstreams accept grants of lower epochs and versions
     bool ignore_gate_lease = false;      ///< gates grant past the end of their own lease
-    bool dispatch_without_grant = false; ///< gates do not ask may_dispatch
+    bool dispatch_without_grant = false; ///< gates dispatch when may_dispatch() is false
 };
 
-struct world_options {
+struct simulation_options {
     std::uint64_t seed = 1;
     std::uint32_t shards = 24;
     double loss = 0.02;
-    double held_back = 0.02; ///< share of the messages that take up to a second
+    double held_back = 0.02; ///< fraction of the messages that are delayed by up to a second
     duration max_delay = std::chrono::milliseconds(4);
     planner_options planning;
-    faults broken;
+    faults injected;
 };
 
-/// A leader, gates and upstreams with the real state machine, planner, issuers and holders; virtual time,
-/// clocks that drift up to the allowed rate, and a network that delays, reorders and loses messages. Every
-/// millisecond the invariants are checked.
-class world {
+/// Simulates a leader, gates and upstreams with the real state machine, planner, issuers and holders, in
+/// virtual time. Clocks drift up to the allowed rate; the network delays, reorders and loses messages. The
+/// invariants are checked every millisecond.
+class simulation {
 public:
-    explicit world(const world_options& options);
+    explicit simulation(const simulation_options& options);
 
     void add_gate(const std::string& name);
     void add_upstream(const std::string& name, std::uint64_t incarnation, bool checks_grants);
@@ -40,11 +40,13 @@
     void pause(const std::string& name);
     void resume(const std::string& name);
     void drain(const std::string& name);
-    void cut(const std::string& a, const std::string& b) { cuts_.insert({std::min(a, b), std::max(a, b)}); }
-    void heal() { cuts_.clear(); }
+    void cut(const std::string& a, const std::string& b) {
+        broken_links_.insert({std::min(a, b), std::max(a, b)});
+    }
+    void heal() { broken_links_.clear(); }
     void change_leader(duration election);
     void set_hot_keys(std::vector<key_load> keys) { hot_keys_ = std::move(keys); }
-    /// Leaves the upstream and its gate only each other.
+    /// Breaks all links of the upstream and of its gate, except the one between them.
     void cut_off_with_gate(const std::string& name);
     void set_network(duration max_delay, double loss, double held_back);
     void run(duration length);
@@ -52,12 +54,12 @@
     bool run_until(const std::function<bool()>& reached, duration limit);
 
     const table& rows() const { return *state_.current(); }
-    /// Shards and hot keys that an upstream may run now.
+    /// Number of shards that exactly one upstream may run now.
     std::uint32_t served() const;
     bool moving() const;
     std::uint32_t owned_by(const std::string& name) const;
     std::uint64_t started_by(const std::string& name) const;
-    /// True when a gate had no answer to two pushes in a row, at least half an interval apart.
+    /// True when two consecutive pushes to the upstream, at least half an interval apart, were not answered.
     bool missed_renewals(const std::string& name) const { return missed_renewals_.count(name) > 0; }
     std::uint64_t started() const { return started_; }
     const std::vector<std::string>& violations() const { return violations_; }
@@ -71,10 +73,10 @@
         time_point deadline;
         std::uint64_t number;
     };
-    struct issued {
+    struct issuer_entry {
         grant_issuer issuer;
-        std::vector<push> open;
-        std::vector<time_point> unanswered; ///< ends of the pushes that had no answer since the last answer
+        std::vector<push> pending;
+        std::vector<time_point> unanswered; ///< when the pushes since the last answer timed out
     };
     struct report {
         std::uint64_t table_version = 0;
@@ -88,9 +90,9 @@
         time_point lease_end{};
         time_point next_request{};
         std::shared_ptr<const table> rows;
-        std::uint64_t scopes_of = 0;
+        std::uint64_t scopes_version = 0;
         std::map<std::string, grant_scope> scopes;
-        std::map<std::pair<std::string, std::uint64_t>, issued> issuers;
+        std::map<std::pair<std::string, std::uint64_t>, issuer_entry> issuers;
     };
     struct upstream {
         std::string name;
@@ -108,9 +110,9 @@
     struct leader {
         bool present = true;
         time_point elected_at{};
-        std::unique_ptr<planner> plans;
+        std::unique_ptr<planner> active_planner;
         std::map<std::string, time_point> gate_bound;
-        std::map<std::string, time_point> heard;
+        std::map<std::string, time_point> last_contact;
         std::map<std::pair<std::string, std::string>, report> reports; ///< by gate and upstream
         std::map<std::string, epoch_number> acknowledged;
         std::map<std::string, time_point> joined;
@@ -121,7 +123,7 @@
     };
     using upstream_id = std::pair<std::string, std::uint64_t>;
 
-    time_point local(const clock& it) const;
+    time_point local_time(const clock& it) const;
     clock random_clock();
     void send(const std::string& from, const std::string& to, std::function<void()> action);
     bool is_paused(const std::string& name) const;
@@ -131,45 +133,46 @@
     void step();
     void step_leader();
     cluster_view view() const;
-    time_point bound_of(const upstream_row& row) const;
+    time_point grant_end_bound(const upstream_row& row) const;
     bool former_incarnation_owns(const upstream_row& row) const;
     void step_gate(const std::string& name, gate& it);
     void request_lease(const std::string& name, gate& it);
-    void take_report(const std::string& name, std::uint64_t table_version,
-                     const std::map<std::string, duration>& remaining,
-                     const std::map<upstream_id, std::uint32_t>& failed,
-                     const std::map<std::string, epoch_number>& accepted);
+    void receive_report(const std::string& name, std::uint64_t table_version,
+                        const std::map<std::string, duration>& remaining,
+                        const std::map<upstream_id, std::uint32_t>& failed,
+                        const std::map<std::string, epoch_number>& accepted);
     void refresh_scopes(gate& it);
     void push_grant(const std::string& name, gate& it, const upstream_row& row);
     void receive_grant(const std::string& gate_name, const upstream_id& id, const grant_issuer::grant& sent,
                        const grant_scope& scope, time_point sent_at, std::uint64_t number);
-    void settle(const std::string& gate_name, const upstream_id& id, const grant_issuer::grant& sent,
-                grant_holder::reply answer, const std::string& token, epoch_number epoch, time_point sent_at,
-                std::uint64_t number);
+    void handle_answer(const std::string& gate_name, const upstream_id& id, const grant_issuer::grant& sent,
+                       grant_holder::reply answer, const std::string& token, epoch_number epoch,
+                       time_point sent_at, std::uint64_t number);
     void dispatch(const std::string& name, gate& it, const upstream_row& row);
     void start_request(const upstream_id& id, epoch_number epoch, std::uint32_t shard,
                        const std::string& key);
     void step_upstream(const upstream_id& id, upstream& it);
     /// True while the upstream may run the key.
-    bool holds(const upstream_id& id, const upstream& it, std::uint32_t shard, const std::string& key) const;
-    std::vector<std::string> holders_of(std::uint32_t shard, const std::string& key) const;
+    bool may_run(const upstream_id& id, const upstream& it, std::uint32_t shard,
+                 const std::string& key) const;
+    std::vector<std::string> live_owners(std::uint32_t shard, const std::string& key) const;
     void check();
     void check_epochs();
-    void violate(const std::string& what);
+    void add_violation(const std::string& what);
 
-    world_options options_;
+    simulation_options options_;
     std::mt19937_64 random_;
     time_point now_{std::chrono::hours(1)};
     assignment_state state_{"dc1", 1};
     std::uint64_t index_ = 0;
     leader leader_;
     clock leader_clock_;
-    std::vector<std::pair<time_point, command>> log_; ///< proposals that are not committed yet
+    std::vector<std::pair<time_point, command>> log_; ///< proposed commands, by the time of their commit
     std::map<std::string, gate> gates_;
     std::map<upstream_id, upstream> upstreams_;
     std::map<std::string, std::set<std::string>> gates_of_; ///< every gate that an upstream ever had
     std::multimap<time_point, delivery> network_;
-    std::set<std::pair<std::string, std::string>> cuts_;
+    std::set<std::pair<std::string, std::string>> broken_links_;
     std::vector<key_load> hot_keys_;
     std::uint64_t next_push_ = 0;
     std::uint64_t started_ = 0;
--- a/tests/ownership/world_processes.cpp
+++ b/tests/ownership/simulation_processes.cpp
@@ -1,4 +1,4 @@
-#include "ownership/world.h"
+#include "ownership/simulation.h"
 
 #include <algorithm>
 
@@ -9,9 +9,9 @@
 // The leader
 // ----------------------------------------------------------------------------------------------------
 
-// A report counts from the table version that the gate had applied: at or above the row's version, the gate
-// grants nothing of what the row lost. Without such a report the gate's lease is the bound.
-time_point world::bound_of(const upstream_row& row) const {
+// A gate that has applied the version of a lost row no longer grants what the row owned, so its report of the
+// remaining time is the bound. Without such a report the bound is the end of the gate's lease.
+time_point simulation::grant_end_bound(const upstream_row& row) const {
     auto bound = time_point::min();
     const auto gates = gates_of_.find(row.name);
     if (gates == gates_of_.end()) {
@@ -31,9 +31,10 @@
     return bound;
 }
 
-// The planner asks by name. While a lost incarnation still owns shards, it waits for the end of that one's
-// grants; those of the next incarnation go on and would never let it finish.
-bool world::former_incarnation_owns(const upstream_row& row) const {
+// The planner looks up the end of grants by name. While a lost incarnation still owns shards, the planner
+// waits for the end of its grants; grants of the next incarnation are renewed and would make that wait
+// endless.
+bool simulation::former_incarnation_owns(const upstream_row& row) const {
     if (row.condition == upstream_status::lost) {
         return false;
     }
@@ -49,17 +50,17 @@
                        [&](const auto& it) { return owns(it.second.owner); });
 }
 
-cluster_view world::view() const {
+cluster_view simulation::view() const {
     cluster_view result;
-    const auto now = local(leader_clock_);
-    for (const auto& [name, heard] : leader_.heard) {
-        if (now - heard < 300ms) {
+    const auto now = local_time(leader_clock_);
+    for (const auto& [name, last_contact] : leader_.last_contact) {
+        if (now - last_contact < 300ms) {
             result.live_instances.insert(name);
         }
     }
     result.joined_at = leader_.joined;
     result.hot_keys = hot_keys_;
-    if (options_.broken.complete_without_wait) {
+    if (options_.injected.complete_without_wait) {
         return result;
     }
     result.acknowledged_version = leader_.acknowledged;
@@ -68,34 +69,34 @@
             continue;
         }
         auto& bound = result.grant_may_live_until.emplace(it.name, time_point::min()).first->second;
-        bound = std::max(bound, bound_of(it));
+        bound = std::max(bound, grant_end_bound(it));
     }
     return result;
 }
 
-void world::step_leader() {
-    // Plans take most of the time of a run, so they are made every 5 ms only.
+void simulation::step_leader() {
+    // Planning takes most of the running time of a test, so a plan is made only every 5 ms.
     if (now_ < leader_.elected_at || !log_.empty() ||
         now_.time_since_epoch() % (5 * tick) != duration::zero()) {
         return;
     }
     for (const auto& it : rows().upstreams) {
         if (it.condition == upstream_status::active) {
-            leader_.joined.emplace(it.name, local(leader_clock_) - options_.planning.ramp);
+            leader_.joined.emplace(it.name, local_time(leader_clock_) - options_.planning.ramp);
         }
     }
-    for (const auto& it : leader_.plans->plan(rows(), view(), local(leader_clock_))) {
+    for (const auto& it : leader_.active_planner->plan(rows(), view(), local_time(leader_clock_))) {
         propose(it);
     }
 }
 
-void world::take_report(const std::string& name, std::uint64_t table_version,
-                        const std::map<std::string, duration>& remaining,
-                        const std::map<upstream_id, std::uint32_t>& failed,
-                        const std::map<std::string, epoch_number>& accepted) {
-    const auto now = local(leader_clock_);
+void simulation::receive_report(const std::string& name, std::uint64_t table_version,
+                                const std::map<std::string, duration>& remaining,
+                                const std::map<upstream_id, std::uint32_t>& failed,
+                                const std::map<std::string, epoch_number>& accepted) {
+    const auto now = local_time(leader_clock_);
     leader_.gate_bound[name] = now + lease + max_clock_drift(lease);
-    leader_.heard[name] = now;
+    leader_.last_contact[name] = now;
     for (const auto& [reported, left] : remaining) {
         auto& it = leader_.reports[{name, reported}];
         if (table_version >= it.table_version) {
@@ -116,8 +117,8 @@
 // Gates
 // ---------------------------------------------------------------------------------------------------------
 
-void world::request_lease(const std::string& name, gate& it) {
-    const auto now = local(it.local);
+void simulation::request_lease(const std::string& name, gate& it) {
+    const auto now = local_time(it.local);
     if (now < it.next_request) {
         return;
     }
@@ -145,7 +146,7 @@
         if (now_ < leader_.elected_at) {
             return;
         }
-        take_report(name, version, remaining, failed, accepted);
+        receive_report(name, version, remaining, failed, accepted);
         send(leader_name, name, [this, name, now] {
             if (const auto found = gates_.find(name); found != gates_.end()) {
                 found->second.lease_end = std::max(found->second.lease_end, now + lease);
@@ -161,11 +162,11 @@
     });
 }
 
-void world::refresh_scopes(gate& it) {
-    if (it.scopes_of == it.rows->version) {
+void simulation::refresh_scopes(gate& it) {
+    if (it.scopes_version == it.rows->version) {
         return;
     }
-    it.scopes_of = it.rows->version;
+    it.scopes_version = it.rows->version;
     it.scopes.clear();
     for (const auto& row : it.rows->upstreams) {
         if (row.condition != upstream_status::lost) {
@@ -174,7 +175,7 @@
     }
 }
 
-void world::step_gate(const std::string& name, gate& it) {
+void simulation::step_gate(const std::string& name, gate& it) {
     refresh_scopes(it);
     for (const auto& row : it.rows->upstreams) {
         if (row.gate == name && row.condition != upstream_status::lost) {
@@ -185,12 +186,12 @@
     request_lease(name, it);
 }
 
-void world::push_grant(const std::string& name, gate& it, const upstream_row& row) {
+void simulation::push_grant(const std::string& name, gate& it, const upstream_row& row) {
     const upstream_id id(row.name, row.incarnation);
-    auto& own = it.issuers.try_emplace(id, issued{grant_issuer(lease, interval), {}, {}}).first->second;
-    const auto now = local(it.local);
-    while (!own.open.empty() && own.open.front().deadline <= now) {
-        own.open.erase(own.open.begin());
+    auto& own = it.issuers.try_emplace(id, issuer_entry{grant_issuer(lease, interval), {}, {}}).first->second;
+    const auto now = local_time(it.local);
+    while (!own.pending.empty() && own.pending.front().deadline <= now) {
+        own.pending.erase(own.pending.begin());
         own.issuer.on_failure(now);
         own.unanswered.push_back(now);
         if (now - own.unanswered.front() >= interval / 2) {
@@ -199,33 +200,34 @@
     }
     const auto& scope = it.scopes.at(row.name);
     scope.empty() ? own.issuer.revoke(row.epoch) : own.issuer.assign(row.epoch, row.version);
-    const auto lease_end = options_.broken.ignore_gate_lease ? now + 10 * lease : it.lease_end;
+    const auto lease_end = options_.injected.ignore_gate_lease ? now + 10 * lease : it.lease_end;
     const auto sent = own.issuer.poll(now, lease_end);
     if (!sent) {
         return;
     }
     const auto number = ++next_push_;
-    own.open.push_back({now + 100ms, number});
+    own.pending.push_back({now + 100ms, number});
     send(name, row.name,
          [=, this, scope = it.scopes.at(row.name)] { receive_grant(name, id, *sent, scope, now, number); });
 }
 
-void world::settle(const std::string& gate_name, const upstream_id& id, const grant_issuer::grant& sent,
-                   grant_holder::reply answer, const std::string& token, epoch_number epoch,
-                   time_point sent_at, std::uint64_t number) {
+void simulation::handle_answer(const std::string& gate_name, const upstream_id& id,
+                               const grant_issuer::grant& sent, grant_holder::reply answer,
+                               const std::string& token, epoch_number epoch, time_point sent_at,
+                               std::uint64_t number) {
     const auto found = gates_.find(gate_name);
     if (found == gates_.end() || found->second.issuers.count(id) == 0) {
         return;
     }
     auto& own = found->second.issuers.at(id);
-    const auto open = std::find_if(own.open.begin(), own.open.end(),
-                                   [number](const push& it) { return it.number == number; });
-    if (open == own.open.end()) {
+    const auto pending = std::find_if(own.pending.begin(), own.pending.end(),
+                                      [number](const push& it) { return it.number == number; });
+    if (pending == own.pending.end()) {
         return;
     }
-    own.open.erase(open);
+    own.pending.erase(pending);
     own.unanswered.clear();
-    const auto now = local(found->second.local);
+    const auto now = local_time(found->second.local);
     own.issuer.on_token(token, now, sent_at);
     switch (answer) {
     case grant_holder::reply::accepted:
@@ -240,11 +242,11 @@
     }
 }
 
-// An upstream that does not check grants starts what arrives. The gate's decision counts for it.
-void world::dispatch(const std::string& name, gate& it, const upstream_row& row) {
+// An upstream that does not check grants starts every request that arrives, so the gate's decision is final.
+void simulation::dispatch(const std::string& name, gate& it, const upstream_row& row) {
     const upstream_id id(row.name, row.incarnation);
     const auto& issuer = it.issuers.at(id).issuer;
-    if (!options_.broken.dispatch_without_grant && !issuer.may_dispatch(local(it.local))) {
+    if (!options_.injected.dispatch_without_grant && !issuer.may_dispatch(local_time(it.local))) {
         return;
     }
     const auto shard = static_cast<std::uint32_t>(random_() % options_.shards);
@@ -261,18 +263,18 @@
 // Upstreams
 // -----------------------------------------------------------------------------------------------------
 
-void world::receive_grant(const std::string& gate_name, const upstream_id& id,
-                          const grant_issuer::grant& sent, const grant_scope& scope, time_point sent_at,
-                          std::uint64_t number) {
+void simulation::receive_grant(const std::string& gate_name, const upstream_id& id,
+                               const grant_issuer::grant& sent, const grant_scope& scope, time_point sent_at,
+                               std::uint64_t number) {
     auto& it = upstreams_.at(id);
     if (!it.alive) {
         return;
     }
-    const auto now = local(it.local);
-    const bool keep = options_.broken.ignore_epochs;
+    const auto now = local_time(it.local);
+    const bool keep = options_.injected.ignore_epochs;
     const auto epoch = keep ? std::max(sent.epoch, it.holder.epoch() + 1) : sent.epoch;
     const auto version = keep ? std::max(sent.version, it.holder.version() + 1) : sent.version;
-    const bool fresh = options_.broken.lease_from_receipt && !sent.token.empty();
+    const bool fresh = options_.injected.lease_from_receipt && !sent.token.empty();
     const auto token = fresh ? it.holder.issue_token(now) : sent.token;
     std::optional<grant_scope> granted;
     if (sent.with_shards || keep) {
@@ -281,32 +283,34 @@
     const auto answer = it.holder.receive(epoch, version, sent.lease, token, granted, now);
     const auto next_token = it.holder.issue_token(now);
     send(id.first, gate_name, [=, this, holder_epoch = it.holder.epoch()] {
-        settle(gate_name, id, sent, answer, next_token, holder_epoch, sent_at, number);
+        handle_answer(gate_name, id, sent, answer, next_token, holder_epoch, sent_at, number);
     });
 }
 
-void world::start_request(const upstream_id& id, epoch_number epoch, std::uint32_t shard,
-                          const std::string& key) {
+void simulation::start_request(const upstream_id& id, epoch_number epoch, std::uint32_t shard,
+                               const std::string& key) {
     auto& it = upstreams_.at(id);
     if (!it.alive || it.paused ||
-        (it.checks_grants && it.holder.check(epoch, shard, key, local(it.local)) != grant_refusal::none)) {
+        (it.checks_grants &&
+         it.holder.check(epoch, shard, key, local_time(it.local)) != grant_refusal::none)) {
         return;
     }
     ++it.started;
     ++started_;
-    if (!holds(id, it, shard, key)) {
-        violate(id.first + " started a request of shard " + std::to_string(shard) + " without a live grant");
+    if (!may_run(id, it, shard, key)) {
+        add_violation(id.first + " started a request of shard " + std::to_string(shard) +
+                      " without a live grant");
     }
     for (const auto& [other, one] : upstreams_) {
-        if (other != id && one.alive && holds(other, one, shard, key)) {
-            violate(id.first + " started a request of shard " + std::to_string(shard) + " owned by " +
-                    other.first);
+        if (other != id && one.alive && may_run(other, one, shard, key)) {
+            add_violation(id.first + " started a request of shard " + std::to_string(shard) +
+                          " that may also run at " + other.first);
         }
     }
 }
 
-void world::step_upstream(const upstream_id& id, upstream& it) {
-    const auto now = local(it.local);
+void simulation::step_upstream(const upstream_id& id, upstream& it) {
+    const auto now = local_time(it.local);
     const bool due = now >= it.next_announcement && (it.draining || it.holder.live_until() <= now);
     if (!due || gates_.empty()) {
         return;
@@ -327,17 +331,18 @@
     });
 }
 
-bool world::holds(const upstream_id& id, const upstream& it, std::uint32_t shard,
-                  const std::string& key) const {
+bool simulation::may_run(const upstream_id& id, const upstream& it, std::uint32_t shard,
+                         const std::string& key) const {
     if (it.checks_grants) {
-        return it.holder.check(it.holder.epoch(), shard, key, local(it.local)) == grant_refusal::none;
+        return it.holder.check(it.holder.epoch(), shard, key, local_time(it.local)) == grant_refusal::none;
     }
     return std::any_of(gates_.begin(), gates_.end(), [&](const auto& one) {
         const auto& [name, at] = one;
         const auto own = at.issuers.find(id);
         const auto* owner = at.rows->owner_of(service_name, shard, key);
-        return !at.paused && own != at.issuers.end() && own->second.issuer.may_dispatch(local(at.local)) &&
-               owner != nullptr && owner->name == id.first && owner->incarnation == id.second;
+        return !at.paused && own != at.issuers.end() &&
+               own->second.issuer.may_dispatch(local_time(at.local)) && owner != nullptr &&
+               owner->name == id.first && owner->incarnation == id.second;
     });
 }
 
