--- a/benchmark/ownership_balance.cpp
+++ b/benchmark/ownership_balance.cpp
@@ -1,6 +1,6 @@
-// Balance, churn and planning time of the planner, and sizes of table and deltas. Exits with 1 when a bound
-// of docs/design.md is missed: shards per slot at most one apart, and at most 1.1 times the fewest possible
-// moves.
+// Measures balance, moved shards and running time of the planner, and the encoded sizes of tables and
+// commands. Exits with 1 when a bound of docs/design.md is missed: shards per slot differ by at most one, and
+// moves are at most 1.1 times the fewest possible.
 #include <kingcupseam/ownership.h>
 
 #include <algorithm>
@@ -85,8 +85,8 @@
     }
 }
 
-/// Fewest moves to a balance with @p live owners, from the counts by owner; the last @p gone owners have
-/// left.
+/// Fewest moves that balance @p total shards over the first @p live owners, given the present counts by
+/// owner; any further owners have left.
 std::size_t fewest_moves(std::vector<std::size_t> counts, std::size_t live, std::size_t total) {
     counts.resize(std::max(counts.size(), live));
     std::size_t moves = 0;
@@ -132,7 +132,7 @@
 }
 
 void move_hot_keys(cluster& it) {
-    // All hot keys of the workload on one upstream: the worst case for the limit of ten per period.
+    // All hot keys on one upstream: the worst case for the limit of ten moves per period.
     for (std::size_t n = 0; it.view.hot_keys.size() < 30; ++n) {
         const auto key = "hot-" + std::to_string(n);
         if (it.rows().services.at(service_name).shards[shard_of(key, it.shards)].owner == 0) {
