--- a/benchmark/admission_floods.cpp
+++ b/benchmark/admission_floods.cpp
@@ -1,4 +1,4 @@
-// Floods of one rank at one upstream: shares against arrival order and against dual prices.
+// Floods of one rank at one upstream: compares guaranteed shares with arrival order and with dual prices.
 #include "../tests/admission/flood.h"
 
 #include <cstdio>
@@ -8,15 +8,15 @@
 
 using namespace kingcupseam;
 using namespace kingcupseam::admission;
-using kingcupseam::test::flood_load;
-using kingcupseam::test::flood_model;
+using kingcupseam::test::flood_options;
 using kingcupseam::test::flood_result;
+using kingcupseam::test::flood_simulation;
 
 namespace {
 
 constexpr int seconds = 40;
 constexpr std::array<std::uint64_t, 3> seeds{11, 12, 13};
-// Ordinary demand as a fraction of the capacity; a flood raises one rank until the total is reached.
+// Demand without a flood, as a fraction of the capacity; a flood raises one rank until the total is reached.
 constexpr std::array<double, rank_count> ordinary{0.35, 0.20, 0.10};
 // One request in 500 takes twenty times the mean of 10 ms.
 constexpr double service_us = 10'000 * (1 + 19.0 / 500);
@@ -29,9 +29,9 @@
 };
 constexpr std::array<policy, 2> policies{policy{"navalsig", 0.15, 0.05}, policy{"cairnmark", 0.30, 0.15}};
 
-/// Each rank has a price that rises while it waits and is served below its share, and falls otherwise. The
-/// rank with the highest weight plus price goes first. Refuses early by the same estimates and margins as the
-/// plain rule.
+/// Each rank has a price that rises while its requests wait and it gets less than its share, and falls
+/// otherwise. The rank with the highest sum of weight and price is served first. Refuses early by the same
+/// estimates and margins as the queue with shares.
 class dual_price_queue final : public queue {
 public:
     dual_price_queue(const queue_options& settings, double rate)
@@ -148,7 +148,7 @@
     std::array<double, rank_count> in_time{};
     std::array<double, rank_count> share{};
     std::array<double, rank_count> demand{};
-    /// lowest slot share in a second in which requests for 1.5 times the guaranteed share arrived
+    /// Lowest slot share in a second in which requests for at least 1.5 times the guaranteed share arrived.
     std::array<double, rank_count> worst_second{1, 1, 1};
 };
 
@@ -170,11 +170,11 @@
     figures sum;
     for (const std::uint64_t seed : seeds) {
         const auto tested = make_queue(kind, settings);
-        flood_load load;
+        flood_options load;
         for (std::size_t n = 0; n < rank_count; ++n) {
             load.per_second[n] = demand[n] * slots * 1e6 / service_us;
         }
-        const flood_result seen = flood_model(*tested, load, seed).run(seconds);
+        const flood_result seen = flood_simulation(*tested, load, seed).run(seconds);
         for (std::size_t n = 0; n < rank_count; ++n) {
             sum.in_time[n] += seen.fraction_in_time(all_ranks[n]) / seeds.size();
             sum.share[n] += seen.mean_share(all_ranks[n], slots) / seeds.size();
@@ -187,11 +187,11 @@
     return sum;
 }
 
-/// Means over all floods, to compare rules.
+/// Sums and minima over all floods, to compare queues.
 struct totals {
     double urgent_in_lowest_flood = 0;
     double all_in_time = 0;
-    double worst_mean = 9; ///< lowest slot share as a fraction of what is guaranteed
+    double worst_mean = 9; ///< lowest slot share as a fraction of the guaranteed one
     double worst_second = 9;
     int missed = 0;
     int runs = 0;
--- a/include/kingcupseam/admission.h
+++ b/include/kingcupseam/admission.h
@@ -13,19 +13,19 @@
 
 namespace kingcupseam::admission {
 
-/// One waiting request, identified by a number that its owner chose.
+/// One waiting request, identified by a number that the user of the queue chooses.
 struct queued_request {
     std::uint64_t id = 0;
     rank priority = rank::urgent;
     time_point arrived;
     time_point deadline;
-    bool exclusive = false; ///< a crash suspect: runs only while nothing else runs on the upstream
+    bool exclusive = false; ///< suspected poison request: runs only while nothing else runs on the upstream
     auto operator<=>(const queued_request&) const = default;
 };
 
 struct rank_policy {
-    double guaranteed_share =
-        0; ///< fraction of the slots that the rank keeps while others flood; sum below 1
+    /// Fraction of the slots that is reserved for the rank under overload; the sum over all ranks is below 1.
+    double guaranteed_share = 0;
     std::uint32_t max_waiting = 256;
     auto operator<=>(const rank_policy&) const = default;
 };
@@ -38,7 +38,7 @@
 
 enum class admit_result : std::uint8_t { admitted, queue_full, deadline };
 
-/// The queue of one upstream at its gate. Single-threaded; has no clock.
+/// Queue of the requests for one upstream, held by its gate. Not thread-safe; the caller passes the time.
 class queue {
 public:
     queue() = default;
@@ -46,36 +46,37 @@
     queue& operator=(const queue&) = delete;
     virtual ~queue() = default;
 
-    /// Refuses at once what cannot meet its deadline, judged by the work ahead of it and the observed service
-    /// time.
+    /// Refuses a request at once when, by the work ahead of it and the observed service time, it would miss
+    /// its deadline.
     virtual admit_result admit(const queued_request& request, time_point now) = 0;
-    /// The next request to dispatch while a slot is free; requests whose deadline has passed go to @p
-    /// expired. Call it again after every arrival and end of a request, and on a timer: a fractional slot
+    /// Next request to dispatch, if a slot is free; requests whose deadline has passed are moved to
+    /// @p expired. Call it after every arrival and end of a request, and on a timer: a fractional slot
     /// becomes free by the passing of time alone.
     virtual std::optional<queued_request> next(time_point now, std::vector<queued_request>& expired) = 0;
-    /// A dispatched request ended after @p service_time; empty when it did not run.
+    /// Reports the end of a dispatched request. @param service_time empty when it did not run
     virtual void finished(std::uint64_t id, std::optional<duration> service_time, time_point now) = 0;
     /// Removes a waiting request. @returns false when it is not waiting
     virtual bool cancel(std::uint64_t id) = 0;
-    /// @param slots effective slots; a fraction is used as a share of the time of one more slot, and with 0
-    /// nothing is dispatched
+    /// @param slots number of usable slots; a fractional part opens one more slot for that fraction of the
+    /// time; with 0 nothing is dispatched
     virtual void set_slots(double slots) = 0;
     virtual void set_policy(const std::array<rank_policy, rank_count>& ranks) = 0;
     virtual std::uint32_t running() const noexcept = 0;
     virtual std::uint32_t waiting(rank value) const noexcept = 0;
-    /// True when a request of the rank that arrives now would be refused; entries then refuse it at the edge.
+    /// True when a request of the rank that arrives now would be refused, so that entries can refuse it
+    /// themselves.
     virtual bool saturated(rank value, duration deadline, time_point now) const = 0;
-    /// Takes everything that waits, for handing over or refusing.
+    /// Removes and returns all waiting requests, for handing them over or refusing them.
     virtual std::vector<queued_request> drain() = 0;
 };
 
-/// Urgent first, with a guaranteed share of slot time per rank.
+/// Serves urgent requests first and guarantees each rank its share of the slot time.
 std::unique_ptr<queue> make_priority_queue_with_shares(const queue_options& settings);
-/// Baseline: arrival order, one bound for all ranks.
+/// Baseline for comparison: serves requests in arrival order, with one limit for all ranks.
 std::unique_ptr<queue> make_fifo_queue(const queue_options& settings);
 
 struct retry_policy {
-    double budget_fraction = 0.1; ///< retries as a fraction of fresh requests
+    double budget_fraction = 0.1; ///< retries as a fraction of first attempts
     std::uint32_t min_per_second = 3;
     duration first_backoff = std::chrono::milliseconds(5);
     duration max_backoff = std::chrono::milliseconds(100);
@@ -83,13 +84,13 @@
     auto operator<=>(const retry_policy&) const = default;
 };
 
-/// Budget of retries over a sliding period of 10 s.
+/// Limits retries to a fraction of the first attempts in a sliding window of 10 s.
 class retry_budget {
 public:
     retry_budget(retry_policy settings, std::uint64_t seed);
     void on_first_attempt(time_point now);
     /// @param attempt number of attempts made so far, at least 1
-    /// @returns the backoff to wait before the next attempt; empty when the request must not be retried
+    /// @returns the backoff before the next attempt; empty when the request must not be retried
     std::optional<duration> try_retry(std::uint32_t attempt, time_point deadline, time_point now);
 
 private:
@@ -97,14 +98,15 @@
     std::shared_ptr<state> state_;
 };
 
-/// Requests that were in flight when an upstream died, by request digest.
+/// Requests that were in flight when an upstream crashed, by digest. Those that crash upstreams repeatedly
+/// are poison requests and refused.
 class poison_request_list {
 public:
     enum class status : std::uint8_t { clear, suspected, refused };
     struct record {
         std::string digest;
         std::uint32_t crashes = 0;
-        bool survived = false; ///< ran alone since the last crash; it runs normally until it crashes again
+        bool survived = false; ///< ran alone since the last crash and runs normally until the next one
         time_point expires;
         auto operator<=>(const record&) const = default;
     };
@@ -112,14 +114,14 @@
     explicit poison_request_list(std::uint32_t crash_limit = 2, duration retention = std::chrono::minutes(10),
                                  std::size_t max_records = 4096);
 
-    /// An upstream died with @p digests in flight. A lone request, or the only one that already was a
-    /// suspect, is charged with a crash. Any other gets at most one crash less than the limit, so a shared
-    /// crash makes a suspect but never refuses a request.
-    /// @returns the records that changed, to be shared with the data centre
+    /// Records that an upstream crashed with @p digests in flight. The crash is attributed to a request that
+    /// ran alone, or to the only one that was suspected already. The count of any other stays below the
+    /// limit: it becomes suspected, but is not refused. @returns the changed records, for the other instances
     std::vector<record> on_crash(const std::vector<std::string>& digests, time_point now);
-    /// A suspect ran alone and the upstream survived. It keeps its crashes but runs normally again.
+    /// Records that a suspected request ran alone without a crash. It keeps its crash count but runs normally
+    /// again.
     std::optional<record> on_survived(const std::string& digest, time_point now);
-    /// Merges a record from another instance: the higher number of crashes wins, then `survived`.
+    /// Merges a record from another instance: the higher crash count wins; at equal counts, `survived` does.
     void merge(const record& other, time_point now);
     status status_of(const std::string& digest, time_point now) const;
 
@@ -128,8 +130,8 @@
     std::shared_ptr<state> state_;
 };
 
-/// Whether an upstream is fit for new work, judged by outcomes; reports and probes can only lower the
-/// judgement.
+/// Health of an upstream, derived from the outcomes of requests, connections and probes. What the upstream
+/// reports about itself can only lower it.
 class upstream_health {
 public:
     enum class status : std::uint8_t { healthy, degraded, silent_connection, frozen, dead };
@@ -146,13 +148,13 @@
     void on_timeout(time_point now);
     void on_reported_load(std::uint32_t in_flight, std::uint32_t slots, time_point now);
     void on_reported_unhealthy(time_point now);
-    /// True when a probe on a new connection is due because requests in flight stay silent.
+    /// True when a probe on a new connection is due because a request in flight has had no answer for long.
     bool probe_due(time_point oldest_in_flight, time_point now) const;
     void on_probe_sent(time_point now);
-    /// The new connection works: connections that stay silent are lost.
+    /// The upstream answers on a new connection, so connections without an answer are lost.
     void on_probe_answered(time_point now);
     status current(time_point now) const;
-    /// Fraction of the slots to use, 0 to 1; a cold or degraded upstream gets less.
+    /// Fraction of the slots to use, from 0 to 1; lower for a cold or degraded upstream.
     double slot_fraction(time_point now) const;
 
 private:
--- a/src/admission/fifo_queue.cpp
+++ b/src/admission/fifo_queue.cpp
@@ -31,7 +31,7 @@
             expired.push_back(waiting_.front());
             waiting_.pop_front();
         }
-        if (waiting_.empty() || exclusive_running_ || !meter_.free(running()) ||
+        if (waiting_.empty() || exclusive_running_ || !meter_.has_free_slot(running()) ||
             (waiting_.front().exclusive && !running_.empty())) {
             return std::nullopt;
         }
@@ -61,7 +61,7 @@
         return true;
     }
 
-    void set_slots(double slots) override { meter_.set(slots); }
+    void set_slots(double slots) override { meter_.set_slots(slots); }
     void set_policy(const std::array<rank_policy, rank_count>& ranks) override {
         max_waiting_ = 0;
         for (const auto& it : ranks) {
--- a/src/admission/poison_request_list.cpp
+++ b/src/admission/poison_request_list.cpp
@@ -15,8 +15,9 @@
         const auto it = records.find(digest);
         return it == records.end() || it->second.expires <= now ? nullptr : &it->second;
     }
-    /// Makes room by dropping expired records first, then the one with the fewest crashes that expires first.
-    void make_room(time_point now) {
+    /// Drops expired records when the list is full; if none has expired, drops the one with the fewest
+    /// crashes.
+    void evict_if_full(time_point now) {
         if (records.size() < max_records) {
             return;
         }
@@ -24,19 +25,19 @@
         if (records.size() < max_records) {
             return;
         }
-        const auto weaker = [](const auto& a, const auto& b) {
+        const auto evict_first = [](const auto& a, const auto& b) {
             return std::tie(a.second.crashes, a.second.expires) <
                    std::tie(b.second.crashes, b.second.expires);
         };
-        records.erase(std::min_element(records.begin(), records.end(), weaker));
+        records.erase(std::min_element(records.begin(), records.end(), evict_first));
     }
-    /// The retention counts from the receipt, because clocks of instances differ.
-    record store(record wanted, time_point now) {
-        if (!records.contains(wanted.digest)) {
-            make_room(now);
+    /// The retention starts when the record is stored here, because the clocks of instances differ.
+    record store(record added, time_point now) {
+        if (!records.contains(added.digest)) {
+            evict_if_full(now);
         }
-        wanted.expires = now + retention;
-        return records[wanted.digest] = wanted;
+        added.expires = now + retention;
+        return records[added.digest] = added;
     }
 };
 
@@ -50,14 +51,14 @@
     std::vector<std::string> distinct(digests);
     std::sort(distinct.begin(), distinct.end());
     distinct.erase(std::unique(distinct.begin(), distinct.end()), distinct.end());
-    const auto is_suspect = [&](const std::string& it) { return status_of(it, now) != status::clear; };
-    const auto suspects = std::count_if(distinct.begin(), distinct.end(), is_suspect);
+    const auto is_suspected = [&](const std::string& it) { return status_of(it, now) != status::clear; };
+    const auto suspected_count = std::count_if(distinct.begin(), distinct.end(), is_suspected);
     std::vector<record> changed;
     for (const auto& digest : distinct) {
         const record* known = state_->find(digest, now);
         const std::uint32_t before = known != nullptr ? known->crashes : 0;
-        const bool charged = distinct.size() == 1 || (suspects == 1 && is_suspect(digest));
-        const std::uint32_t limit = charged ? before + 1 : std::max(before, state_->crash_limit - 1);
+        const bool attributed = distinct.size() == 1 || (suspected_count == 1 && is_suspected(digest));
+        const std::uint32_t limit = attributed ? before + 1 : std::max(before, state_->crash_limit - 1);
         changed.push_back(state_->store({digest, std::min(before + 1, limit), false, {}}, now));
     }
     return changed;
--- a/src/admission/service_estimate.h
+++ b/src/admission/service_estimate.h
@@ -6,8 +6,8 @@
 
 namespace kingcupseam::admission {
 
-/// Moving average of service times in which a single sample counts for at most four times the average, so a
-/// few outliers do not close the queue while a lasting slowdown is followed within tens of samples.
+/// Moving average of service times. A sample is clamped to four times the average, so that a few outliers do
+/// not make the queue refuse requests, while a lasting slowdown is followed within tens of samples.
 class service_estimate {
 public:
     explicit service_estimate(duration initial) : mean_(std::max<double>(1, double(initial.count()))) {}
@@ -18,7 +18,7 @@
         mean_ += (value - mean_) / (samples_ + 1);
     }
     double microseconds() const noexcept { return mean_; }
-    bool settled() const noexcept { return samples_ >= 4; }
+    bool has_enough_samples() const noexcept { return samples_ >= 4; }
 
 private:
     double mean_;
--- a/src/admission/slot_meter.h
+++ b/src/admission/slot_meter.h
@@ -7,23 +7,23 @@
 
 namespace kingcupseam::admission {
 
-/// Decides whether one more request may run when the number of slots has a fraction. The fraction is kept as
-/// an average over time: the partial slot stays closed until its past use is paid for.
+/// Tracks whether one more request may run when the number of slots is fractional. The fractional slot is
+/// used for that fraction of the time on average: after use it stays closed until the average is met again.
 class slot_meter {
 public:
-    explicit slot_meter(double slots) { set(slots); }
+    explicit slot_meter(double slots) { set_slots(slots); }
 
-    void set(double slots) { slots_ = std::isfinite(slots) ? std::max(0.0, slots) : 0.0; }
+    void set_slots(double slots) { slots_ = std::isfinite(slots) ? std::max(0.0, slots) : 0.0; }
     double slots() const noexcept { return slots_; }
     /// @param elapsed microseconds during which @p running requests ran
     void advance(double elapsed, std::uint32_t running) {
         const double whole = std::floor(slots_);
         const double partial_in_use = double(running) > whole ? 1.0 : 0.0;
         balance_ = std::min(0.0, balance_ + elapsed * (slots_ - whole - partial_in_use));
-        // Bounds the pause after an upstream was slow, in microseconds.
+        // Limits how long the fractional slot stays closed after a slow request; microseconds of slot time.
         balance_ = std::max(balance_, -1e6);
     }
-    bool free(std::uint32_t running) const noexcept {
+    bool has_free_slot(std::uint32_t running) const noexcept {
         const double whole = std::floor(slots_);
         if (double(running) < whole) {
             return true;
--- a/src/admission/upstream_health.cpp
+++ b/src/admission/upstream_health.cpp
@@ -5,12 +5,12 @@
 namespace kingcupseam::admission {
 namespace {
 
-// A report describes the moment it was made; after this time it is ignored.
+// A report is ignored after this time.
 constexpr duration report_validity = std::chrono::seconds(2);
-// A new or returned upstream reaches its full slots after this time, in proportion to its age.
+// Time in which the slots of a new or returned upstream rise linearly to their full number.
 constexpr duration ramp_period = std::chrono::seconds(5);
-constexpr double first_fraction = 0.25;
-// A failure takes three tenths of the slots; an answer gives back a tenth of what is missing.
+constexpr double initial_fraction = 0.25;
+// Each failure reduces the fraction by three tenths; each answer restores a tenth of what is missing.
 constexpr double failure_factor = 0.7;
 constexpr double recovery_step = 0.1;
 constexpr double min_fraction = 0.1;
@@ -19,28 +19,29 @@
 
 struct upstream_health::state {
     options settings;
-    time_point ramp_from;
+    time_point ramp_start;
     std::optional<time_point> last_answer;
     std::optional<time_point> probe_sent;
     std::optional<time_point> probe_answered;
-    std::optional<time_point> reported_bad;
+    std::optional<time_point> reported_unhealthy_at;
     std::optional<time_point> reported_load_at;
-    double reported_free = 1;
+    double reported_fraction = 1;
     double outcome_factor = 1;
-    std::uint32_t refused = 0;
+    std::uint32_t refused_connects = 0;
 
-    void failure() { outcome_factor = std::max(min_fraction, outcome_factor * failure_factor); }
-    bool recent(const std::optional<time_point>& at, time_point now) const {
+    void record_failure() { outcome_factor = std::max(min_fraction, outcome_factor * failure_factor); }
+    bool is_recent(const std::optional<time_point>& at, time_point now) const {
         return at && now - *at < report_validity;
     }
     bool probe_failed(time_point now) const {
         return probe_sent && now - *probe_sent >= settings.probe_timeout;
     }
-    /// Lowest fraction that reports may impose; a lying report slows an upstream but does not stop it.
+    /// Fraction allowed by reports; at least one half, so that a false report slows an upstream but does not
+    /// stop it.
     double report_factor(time_point now) const {
-        double factor = recent(reported_bad, now) ? 0.5 : 1.0;
-        if (recent(reported_load_at, now)) {
-            factor = std::min(factor, std::max(0.5, reported_free));
+        double factor = is_recent(reported_unhealthy_at, now) ? 0.5 : 1.0;
+        if (is_recent(reported_load_at, now)) {
+            factor = std::min(factor, std::max(0.5, reported_fraction));
         }
         return factor;
     }
@@ -48,43 +49,43 @@
 
 upstream_health::upstream_health(options settings, time_point now) : state_(std::make_shared<state>()) {
     state_->settings = settings;
-    state_->ramp_from = now;
+    state_->ramp_start = now;
 }
 
 void upstream_health::on_answer(duration /*service_time*/, time_point now) {
     auto& s = *state_;
-    // An upstream that was frozen or dead comes back with cold caches and ramps up again.
-    if (s.probe_failed(now) || s.refused >= s.settings.refused_before_dead) {
-        s.ramp_from = now;
+    // An upstream that was frozen or dead may have cold caches, so its ramp starts again.
+    if (s.probe_failed(now) || s.refused_connects >= s.settings.refused_before_dead) {
+        s.ramp_start = now;
     }
     s.last_answer = now;
     s.probe_sent.reset();
-    s.refused = 0;
+    s.refused_connects = 0;
     s.outcome_factor = std::min(1.0, s.outcome_factor + recovery_step * (1 - s.outcome_factor) + 0.001);
 }
 
 void upstream_health::on_connect_refused(time_point /*now*/) {
-    ++state_->refused;
-    state_->failure();
+    ++state_->refused_connects;
+    state_->record_failure();
 }
 
 void upstream_health::on_connection_broken(time_point /*now*/) {
-    state_->failure();
+    state_->record_failure();
 }
 
 void upstream_health::on_timeout(time_point /*now*/) {
-    state_->failure();
+    state_->record_failure();
 }
 
 void upstream_health::on_reported_load(std::uint32_t in_flight, std::uint32_t slots, time_point now) {
     auto& s = *state_;
     s.reported_load_at = now;
-    // A load at or below the slots is normal use. Only the excess lowers the judgement.
-    s.reported_free = slots == 0 ? 0.0 : std::min(1.0, double(slots) / std::max(1.0, double(in_flight)));
+    // A load up to the number of slots is normal; only the excess lowers the fraction.
+    s.reported_fraction = slots == 0 ? 0.0 : std::min(1.0, double(slots) / std::max(1.0, double(in_flight)));
 }
 
 void upstream_health::on_reported_unhealthy(time_point now) {
-    state_->reported_bad = now;
+    state_->reported_unhealthy_at = now;
 }
 
 bool upstream_health::probe_due(time_point oldest_in_flight, time_point now) const {
@@ -92,10 +93,11 @@
     if (s.probe_sent) {
         return false;
     }
-    // Other answers do not count: one silent connection is found while the others work.
+    // Answers on other connections do not count, so that a single silent connection is found.
     const bool silent = now - oldest_in_flight >= s.settings.silence_before_probe;
-    const bool asked_lately = s.probe_answered && now - *s.probe_answered < s.settings.silence_before_probe;
-    return silent && !asked_lately;
+    const bool probed_recently =
+        s.probe_answered && now - *s.probe_answered < s.settings.silence_before_probe;
+    return silent && !probed_recently;
 }
 
 void upstream_health::on_probe_sent(time_point now) {
@@ -106,18 +108,18 @@
 
 void upstream_health::on_probe_answered(time_point now) {
     auto& s = *state_;
-    if (s.probe_failed(now) || s.refused >= s.settings.refused_before_dead) {
-        s.ramp_from = now;
+    if (s.probe_failed(now) || s.refused_connects >= s.settings.refused_before_dead) {
+        s.ramp_start = now;
     }
     s.probe_sent.reset();
     s.probe_answered = now;
-    // Accepting a connection disproves refusal; it says nothing about requests, so the outcomes stay.
-    s.refused = 0;
+    // The upstream accepts connections again; that says nothing about requests, so outcome_factor stays.
+    s.refused_connects = 0;
 }
 
 upstream_health::status upstream_health::current(time_point now) const {
     const auto& s = *state_;
-    if (s.refused >= s.settings.refused_before_dead) {
+    if (s.refused_connects >= s.settings.refused_before_dead) {
         return status::dead;
     }
     if (s.probe_failed(now)) {
@@ -132,13 +134,13 @@
 
 double upstream_health::slot_fraction(time_point now) const {
     const auto& s = *state_;
-    const status judged = current(now);
-    if (judged == status::dead || judged == status::frozen) {
+    const status health = current(now);
+    if (health == status::dead || health == status::frozen) {
         return 0;
     }
     const double age =
-        std::clamp(double((now - s.ramp_from).count()) / double(ramp_period.count()), 0.0, 1.0);
-    const double ramp = first_fraction + (1 - first_fraction) * age;
+        std::clamp(double((now - s.ramp_start).count()) / double(ramp_period.count()), 0.0, 1.0);
+    const double ramp = initial_fraction + (1 - initial_fraction) * age;
     return std::max(min_fraction, ramp * s.outcome_factor * s.report_factor(now));
 }
 
--- a/tests/admission/flood.h
+++ b/tests/admission/flood.h
@@ -11,10 +11,10 @@
 using admission::queue;
 using admission::queued_request;
 
-struct flood_load {
+struct flood_options {
     std::array<double, rank_count> per_second{};
-    std::array<duration, rank_count> patience{std::chrono::milliseconds(100), std::chrono::milliseconds(400),
-                                              std::chrono::seconds(1)};
+    std::array<duration, rank_count> timeout{std::chrono::milliseconds(100), std::chrono::milliseconds(400),
+                                             std::chrono::seconds(1)};
     double mean_service_us = 10'000;
 };
 
@@ -31,7 +31,7 @@
         const auto n = static_cast<std::size_t>(value);
         return offered[n] == 0 ? 1.0 : double(in_time[n]) / double(offered[n]);
     }
-    /// Smallest slot time of the rank in any second after the first two, per slot.
+    /// Lowest slot time of the rank, per slot, over all seconds after the first two.
     double smallest_share(rank value, double slots) const {
         double least = 1;
         for (std::size_t n = 2; n < slot_seconds.size(); ++n) {
@@ -59,13 +59,13 @@
     }
 };
 
-/// One upstream with a queue in front of it, under open-loop Poisson arrivals in virtual time.
-class flood_model {
+/// Simulates an upstream with a queue under open-loop Poisson arrivals, in virtual time.
+class flood_simulation {
 public:
-    flood_model(queue& tested, flood_load load, std::uint64_t seed) : queue_(tested), load_(load) {
+    flood_simulation(queue& tested, flood_options load, std::uint64_t seed) : queue_(tested), load_(load) {
         for (std::size_t n = 0; n < rank_count; ++n) {
             arrivals_[n].seed(seed * 31 + n);
-            services_[n].seed(seed * 37 + n);
+            service_times_[n].seed(seed * 37 + n);
         }
     }
 
@@ -102,32 +102,33 @@
         }
     }
     void arrive(std::size_t n, time_point now) {
-        const queued_request request{++last_id_, all_ranks[n], now, now + load_.patience[n], false};
+        const queued_request request{++last_id_, all_ranks[n], now, now + load_.timeout[n], false};
         ++result_.offered[n];
         ++result_.offered_in[std::size_t((now - start_) / std::chrono::seconds(1))][n];
-        // Drawn for every arrival, so that all queues see the same requests with the same seed.
+        // Drawn for every arrival, also a refused one, so that with one seed all queues get the same
+        // requests.
         const double service = draw_service(n);
         result_.demand_seconds[n] += service / 1e6;
         if (queue_.admit(request, now) == admission::admit_result::admitted) {
-            service_of_[request.id] = duration(std::int64_t(service));
+            service_time_of_[request.id] = duration(std::int64_t(service));
         }
         schedule(n, now);
     }
     /// Half fixed, half exponential, with one request in 500 that takes twenty times as long.
     double draw_service(std::size_t n) {
         std::exponential_distribution<double> tail(2 / load_.mean_service_us);
-        const double usual = load_.mean_service_us / 2 + tail(services_[n]);
-        return usual * (services_[n]() % 500 == 0 ? 20 : 1);
+        const double usual = load_.mean_service_us / 2 + tail(service_times_[n]);
+        return usual * (service_times_[n]() % 500 == 0 ? 20 : 1);
     }
     void end_request(std::uint64_t id, time_point now) {
         const running it = running_.at(id);
         running_.erase(id);
         const auto n = static_cast<std::size_t>(it.request.priority);
         ++(now <= it.request.deadline ? result_.in_time : result_.late)[n];
-        account(n, it.started, now);
+        add_slot_time(n, it.started, now);
         queue_.finished(id, now - it.started, now);
     }
-    void account(std::size_t n, time_point from, time_point to) {
+    void add_slot_time(std::size_t n, time_point from, time_point to) {
         while (from < to) {
             const auto second = (from - start_) / std::chrono::seconds(1);
             const time_point cut = std::min(to, start_ + std::chrono::seconds(second + 1));
@@ -141,23 +142,23 @@
         std::vector<queued_request> expired;
         while (const auto chosen = queue_.next(now, expired)) {
             running_[chosen->id] = {*chosen, now};
-            events_.insert({now + service_of_.at(chosen->id), {false, chosen->id}});
-            service_of_.erase(chosen->id);
+            events_.insert({now + service_time_of_.at(chosen->id), {false, chosen->id}});
+            service_time_of_.erase(chosen->id);
             result_.most_running = std::max(result_.most_running, std::uint32_t(running_.size()));
         }
         for (const auto& it : expired) {
-            service_of_.erase(it.id);
+            service_time_of_.erase(it.id);
         }
     }
 
     queue& queue_;
-    flood_load load_;
+    flood_options load_;
     std::array<std::mt19937_64, rank_count> arrivals_;
-    std::array<std::mt19937_64, rank_count> services_;
+    std::array<std::mt19937_64, rank_count> service_times_;
     time_point start_{std::chrono::seconds(1)};
     std::multimap<time_point, event> events_;
     std::map<std::uint64_t, running> running_;
-    std::map<std::uint64_t, duration> service_of_;
+    std::map<std::uint64_t, duration> service_time_of_;
     std::uint64_t last_id_ = 0;
     flood_result result_;
 };
--- a/tests/admission/queue_test.cpp
+++ b/tests/admission/queue_test.cpp
@@ -5,8 +5,8 @@
 using namespace kingcupseam;
 using namespace kingcupseam::admission;
 using namespace std::chrono_literals;
-using kingcupseam::test::flood_load;
-using kingcupseam::test::flood_model;
+using kingcupseam::test::flood_options;
+using kingcupseam::test::flood_simulation;
 
 namespace {
 
@@ -19,8 +19,8 @@
     return result;
 }
 
-queued_request request(std::uint64_t id, rank value, duration patience = 10s, bool exclusive = false) {
-    return {id, value, start, start + patience, exclusive};
+queued_request request(std::uint64_t id, rank value, duration timeout = 10s, bool exclusive = false) {
+    return {id, value, start, start + timeout, exclusive};
 }
 
 std::optional<std::uint64_t> next_id(queue& tested, time_point now = start) {
@@ -29,7 +29,8 @@
     return chosen ? std::optional(chosen->id) : std::nullopt;
 }
 
-/// A second may hold one request less than the share, because a request cannot be split between seconds.
+/// Allows one request less than the share in a single second, since service times do not end on whole
+/// seconds.
 bool keeps_share(const test::flood_result& seen, rank value, double share, double slots) {
     return seen.mean_share(value, slots) >= share * 0.98 &&
            seen.smallest_share(value, slots) >= share - 0.02 / slots;
@@ -37,11 +38,11 @@
 
 test::flood_result flood(queue& tested, double slots, std::size_t flooding, std::uint64_t seed) {
     const double capacity = slots * 100;
-    flood_load load;
+    flood_options load;
     load.per_second = {capacity * 0.4, capacity * 0.4, capacity * 0.4};
     load.per_second[flooding] = capacity * 2;
-    load.patience.fill(1s);
-    return flood_model(tested, load, seed).run(12);
+    load.timeout.fill(1s);
+    return flood_simulation(tested, load, seed).run(12);
 }
 
 } // namespace
@@ -59,7 +60,7 @@
             tested->finished(expected, 1ms, start);
         }
     }
-    SUBCASE("a flood of either end leaves every rank its share in each second, with 2 and with 6 slots") {
+    SUBCASE("a flood of urgent or deferrable work leaves each rank its share in each second") {
         for (const std::uint32_t slots : {2U, 6U}) {
             for (const std::size_t flooding : {0U, 2U}) {
                 CAPTURE(slots);
@@ -82,17 +83,17 @@
         const auto fifo = make_fifo_queue(options(2, 0.30, 0.15));
         CHECK_FALSE(keeps_share(flood(*fifo, 2, 0, 7), rank::standard, 0.30, 2));
     }
-    SUBCASE("what one rank leaves unused goes to urgent work") {
+    SUBCASE("slot time that other ranks leave unused goes to urgent work") {
         const auto shared = make_priority_queue_with_shares(options(2, 0.30, 0.15));
-        flood_load load;
+        flood_options load;
         load.per_second = {400, 0, 0};
-        CHECK(flood_model(*shared, load, 3).run(6).mean_share(rank::urgent, 2) > 0.97);
+        CHECK(flood_simulation(*shared, load, 3).run(6).mean_share(rank::urgent, 2) > 0.97);
     }
 }
 
 TEST_CASE("a queue refuses early what cannot be served in time") {
     const auto tested = make_priority_queue_with_shares(options(2, 0.25, 0));
-    SUBCASE("each rank has its own bound, so a flood of one does not refuse the others") {
+    SUBCASE("each rank has its own limit, so a flood of one does not make the others refused") {
         for (std::uint64_t n = 0; n < 256; ++n) {
             CHECK(tested->admit(request(n, rank::deferrable, 1h), start) == admit_result::admitted);
         }
@@ -100,7 +101,7 @@
         CHECK(tested->saturated(rank::deferrable, 1h, start));
         CHECK(tested->admit(request(901, rank::urgent, 1h), start) == admit_result::admitted);
     }
-    SUBCASE("the work ahead counts, and only the work that goes first") {
+    SUBCASE("the expected wait counts only requests that are served before the new one") {
         for (std::uint64_t n = 0; n < 20; ++n) {
             tested->admit(request(n, rank::deferrable), start);
         }
@@ -119,7 +120,7 @@
         CHECK(tested->admit(request(300, rank::standard, 100ms), start) == admit_result::admitted);
         CHECK(tested->admit(request(301, rank::deferrable, 100ms), start) == admit_result::deadline);
     }
-    SUBCASE("a few outliers do not close the queue, a lasting slowdown does") {
+    SUBCASE("a lasting slowdown saturates the queue, a few outliers do not") {
         const auto run = [&](std::uint64_t id, duration service) {
             tested->admit(request(id, rank::urgent, 1h), start);
             next_id(*tested);
@@ -138,14 +139,14 @@
         }
         CHECK(tested->saturated(rank::urgent, 100ms, start));
     }
-    SUBCASE("an idle upstream gets a request whatever the estimate says, or it could never be corrected") {
+    SUBCASE("an idle upstream gets a request even if the estimate is too high, so that it is corrected") {
         queue_options slow = options(1, 0, 0);
         slow.initial_service_time = 10s;
         const auto cold = make_priority_queue_with_shares(slow);
         CHECK(cold->admit(request(1, rank::urgent, 50ms), start) == admit_result::admitted);
         CHECK(cold->admit(request(2, rank::urgent, 50ms), start) == admit_result::deadline);
     }
-    SUBCASE("a passed deadline is found at dispatch, also while no slot is usable") {
+    SUBCASE("expired requests are returned at dispatch, also while no slot is usable") {
         tested->admit(request(1, rank::urgent, 20ms), start);
         tested->set_slots(0);
         std::vector<queued_request> expired;
@@ -153,11 +154,11 @@
         REQUIRE(expired.size() == 1);
         CHECK(expired[0].id == 1);
     }
-    SUBCASE("during a flood slots are not spent on urgent requests that end after their deadline") {
+    SUBCASE("during a flood few dispatched urgent requests end after their deadline") {
         const auto shared = make_priority_queue_with_shares(options(6, 0.15, 0.05));
-        flood_load load;
+        flood_options load;
         load.per_second = {1000, 120, 60};
-        const auto seen = flood_model(*shared, load, 9).run(12);
+        const auto seen = flood_simulation(*shared, load, 9).run(12);
         CHECK(double(seen.late[0]) < 0.1 * double(seen.in_time[0]));
     }
     SUBCASE("a free slot takes a request whose deadline leaves just the service time") {
@@ -166,7 +167,7 @@
         CHECK(tested->admit(request(2, rank::urgent, 11ms), start) == admit_result::admitted);
         CHECK(tested->admit(request(3, rank::urgent, 11ms), start) == admit_result::deadline);
     }
-    SUBCASE("cancel and drain take waiting requests only") {
+    SUBCASE("cancel and drain remove waiting requests only") {
         tested->admit(request(1, rank::urgent), start);
         tested->admit(request(2, rank::urgent), start);
         CHECK(next_id(*tested) == 1U);
@@ -180,19 +181,19 @@
     }
 }
 
-TEST_CASE("slots may be fractional and a suspect runs alone") {
+TEST_CASE("slots may be fractional and a suspected poison request runs alone") {
     SUBCASE("half a slot is used half of the time") {
         for (const double slots : {0.5, 1.3, 2.0}) {
             const auto tested = make_priority_queue_with_shares(options(2, 0, 0));
             tested->set_slots(slots);
-            flood_load load;
+            flood_options load;
             load.per_second = {600, 0, 0};
-            const double used = flood_model(*tested, load, 5).run(12).mean_share(rank::urgent, 1);
+            const double used = flood_simulation(*tested, load, 5).run(12).mean_share(rank::urgent, 1);
             CHECK(used > slots * 0.9);
             CHECK(used < slots * 1.05);
         }
     }
-    SUBCASE("an exclusive request waits for the others and holds back what comes after it") {
+    SUBCASE("an exclusive request waits until no other runs, and later requests wait for its end") {
         for (const bool shares : {true, false}) {
             const auto settings = options(3, 0.2, 0);
             const auto tested =
--- a/tests/admission/judgement_test.cpp
+++ b/tests/admission/resilience_test.cpp
@@ -12,7 +12,7 @@
 const time_point start{100s};
 } // namespace
 
-TEST_CASE("retries are a bounded fraction of fresh work") {
+TEST_CASE("retries are a bounded fraction of first attempts") {
     retry_budget tested({0.1, 2, 5ms, 100ms, 3}, 1);
     SUBCASE("a failing upstream does not multiply the load") {
         int allowed = 0;
@@ -23,7 +23,7 @@
         CHECK(allowed >= 95);
         CHECK(allowed <= 102);
     }
-    SUBCASE("a service with little work may retry, but cannot save up the minimum") {
+    SUBCASE("a service with few requests may retry, but cannot accumulate the minimum") {
         int allowed = 0;
         for (int n = 0; n < 50; ++n) {
             allowed += tested.try_retry(1, start + 1h, start).has_value() ? 1 : 0;
@@ -31,7 +31,7 @@
         CHECK(allowed == 2);
         CHECK(tested.try_retry(1, start + 1h, start + 1s));
     }
-    SUBCASE("fresh work older than the period gives no budget") {
+    SUBCASE("first attempts older than the window give no budget") {
         for (int n = 0; n < 1000; ++n) {
             tested.on_first_attempt(start);
         }
@@ -41,7 +41,7 @@
         }
         CHECK(allowed == 2);
     }
-    SUBCASE("neither the attempts nor the deadline are exceeded, and backoff grows with jitter") {
+    SUBCASE("attempts and deadline are limits, and the backoff grows with jitter") {
         CHECK_FALSE(tested.try_retry(3, start + 1h, start));
         CHECK_FALSE(tested.try_retry(1, start + 1ms, start));
         const auto first = tested.try_retry(1, start + 1h, start);
@@ -57,14 +57,14 @@
 
 TEST_CASE("a request that crashes upstreams is refused after two crashes") {
     poison_request_list tested(2, 10min, 4);
-    SUBCASE("a lone request is suspect after one crash and refused after two") {
+    SUBCASE("a request that ran alone is suspected after one crash and refused after two") {
         CHECK(tested.on_crash({"a"}, start).at(0).crashes == 1);
         CHECK(tested.status_of("a", start) == status::suspected);
         tested.on_crash({"a"}, start + 1s);
         CHECK(tested.status_of("a", start + 1s) == status::refused);
         CHECK(tested.status_of("a", start + 11min) == status::clear);
     }
-    SUBCASE("shared crashes never refuse a bystander, the second crash of a lone suspect does") {
+    SUBCASE("crashes with several requests in flight refuse none, a second crash of a lone one does") {
         tested.on_crash({"a", "b"}, start);
         tested.on_crash({"a", "b"}, start);
         tested.on_crash({"a", "b"}, start);
@@ -74,7 +74,7 @@
         CHECK(tested.on_survived("b", start)->survived);
         CHECK(tested.status_of("b", start) == status::clear);
     }
-    SUBCASE("surviving once does not forgive an earlier crash") {
+    SUBCASE("a run without a crash does not reset the crash count") {
         tested.on_crash({"a"}, start);
         tested.on_survived("a", start);
         CHECK(tested.status_of("a", start) == status::clear);
@@ -82,13 +82,13 @@
         CHECK(tested.status_of("a", start) == status::refused);
         CHECK_FALSE(tested.on_survived("a", start));
     }
-    SUBCASE("one known suspect among first-time requests is charged, the others are not refused") {
+    SUBCASE("a crash is attributed to the only suspected request, the others are not refused") {
         tested.on_crash({"a", "b"}, start);
         tested.on_crash({"a", "c"}, start);
         CHECK(tested.status_of("a", start) == status::refused);
         CHECK(tested.status_of("c", start) == status::suspected);
     }
-    SUBCASE("records of other instances merge in any order and twice") {
+    SUBCASE("merging records of other instances is commutative and idempotent") {
         poison_request_list other(2, 10min, 4);
         const auto first = tested.on_crash({"a"}, start).at(0);
         const auto cleared = *tested.on_survived("a", start);
@@ -100,7 +100,7 @@
         other.merge(cleared, start);
         CHECK(other.status_of("a", start) == status::refused);
     }
-    SUBCASE("when the list is full a refused request is kept and the weakest suspect goes") {
+    SUBCASE("a full list drops the record with the fewest crashes and keeps refused requests") {
         tested.on_crash({"bad"}, start);
         tested.on_crash({"bad"}, start);
         for (int n = 0; n < 10; ++n) {
@@ -120,7 +120,7 @@
         CHECK(tested.slot_fraction(start + 2500ms) > 0.5);
         CHECK(tested.slot_fraction(warm) == doctest::Approx(1));
     }
-    SUBCASE("good reports do not keep a failing upstream in service") {
+    SUBCASE("a low reported load does not keep a failing upstream in service") {
         for (int n = 0; n < 2; ++n) {
             tested.on_connect_refused(warm);
             tested.on_reported_load(0, 6, warm);
@@ -135,7 +135,7 @@
         CHECK(tested.slot_fraction(warm) >= 0.5);
         CHECK(tested.current(warm + 3s) == health::healthy);
     }
-    SUBCASE("a probe on a new connection tells a lost connection from a frozen upstream") {
+    SUBCASE("a probe on a new connection distinguishes a lost connection from a frozen upstream") {
         CHECK_FALSE(tested.probe_due(warm, warm + 100ms));
         tested.on_answer(5ms, warm + 240ms);
         CHECK(tested.probe_due(warm, warm + 250ms));
@@ -157,7 +157,8 @@
             CHECK(tested.current(warm + 5s) != health::frozen);
             CHECK(tested.slot_fraction(warm + 5s) < 0.3);
         }
-        SUBCASE("a late answer on an old connection while the probe is pending ends the doubt") {
+        SUBCASE(
+            "a late answer on an old connection while the probe is pending shows the upstream as healthy") {
             tested.on_answer(300ms, warm + 300ms);
             CHECK(tested.current(warm + 700ms) == health::healthy);
         }
