--- a/src/admission/poison_request_list.cpp
+++ b/src/admission/poison_request_list.cpp
@@ -15,8 +15,8 @@
         const auto it = records.find(digest);
         return it == records.end() || it->second.expires <= now ? nullptr : &it->second;
     }
-    /// Drops expired records when the list is full; if none has expired, drops the one with the fewest
-    /// crashes.
+    /// When the list is full, drops the expired records, or else the one with the fewest crashes that expires
+    /// first.
     void evict_if_full(time_point now) {
         if (records.size() < max_records) {
             return;
--- a/tests/admission/queue_test.cpp
+++ b/tests/admission/queue_test.cpp
@@ -29,8 +29,7 @@
     return chosen ? std::optional(chosen->id) : std::nullopt;
 }
 
-/// Allows one request less than the share in a single second, since service times do not end on whole
-/// seconds.
+/// A second may hold one request less than the share, because a request cannot be split between seconds.
 bool keeps_share(const test::flood_result& seen, rank value, double share, double slots) {
     return seen.mean_share(value, slots) >= share * 0.98 &&
            seen.smallest_share(value, slots) >= share - 0.02 / slots;
