--- a/benchmark/membership_cost.cpp
+++ b/benchmark/membership_cost.cpp
@@ -1,7 +1,7 @@
-// Messages, bytes, detection time and false positives of the failure detector, in virtual time with 1% loss.
-// Exits with 1 when a group of 60 misses a bound of docs/design.md: detection within 300 ms (99% of the
-// instances that learn of a loss), control traffic of at most 2 KB/s per instance with UDP and IP headers, no
-// false death.
+// Measures messages, bytes, detection time and false positives of the failure detector, in virtual time with
+// 1% message loss. Exits with 1 when a group of 60 misses a bound of docs/design.md: detection within 300 ms
+// (for 99% of the instances that learn of a loss), control traffic of at most 2 KB/s per instance with UDP
+// and IP headers, no false death.
 #include "../tests/support/virtual_network.h"
 
 #include <algorithm>
@@ -95,7 +95,7 @@
     for (std::size_t n = 0; n < members; ++n) {
         net.start(n);
     }
-    // The announcements of the start are passed on for longer in a larger group.
+    // The changes caused by the start take longer to spread in a larger group.
     net.run(members > 100 ? 60s : 20s);
     result out;
     measure_traffic(net, members, members > 100 ? 10s : 30s, out);
@@ -120,7 +120,7 @@
         "Detection in ms, over all instances that learn of a loss. False: deaths of running instances.\n");
     std::printf("%-8s %7s %10s %9s %9s %8s %8s %8s %8s %6s %6s\n", "tuning", "members", "messages", "bytes",
                 "on wire", "p50", "p90", "p99", "max", "false", "missed");
-    // The tuning for a group in which detection within a second is enough.
+    // Settings for a group in which detection within a second is enough.
     measure("slow", 60, tuned(150ms, 60ms, 200ms), 10);
     // A run of 540 members takes minutes of computing time.
     bool failed = false;
--- a/include/kingcupseam/membership.h
+++ b/include/kingcupseam/membership.h
@@ -11,12 +11,13 @@
 
 enum class status : std::uint8_t { alive, suspect, dead, left };
 
-/// What is known of one instance. Of two records of the same incarnation the one with the higher version
-/// wins, and at equal versions the worse status; a higher incarnation replaces a lower one.
+/// State of one instance as known to another. A record of a higher incarnation replaces one of a lower.
+/// Within an incarnation the higher version wins, and at equal versions the later status in the order of the
+/// enum.
 struct record {
     instance_id id;
     status condition = status::alive;
-    std::uint32_t version = 0; ///< raised by the instance itself to refute a suspicion
+    std::uint32_t version = 0; ///< raised only by the instance itself, to refute a suspicion
     endpoint_address address;
     auto operator<=>(const record&) const = default;
 };
@@ -28,7 +29,7 @@
     std::uint64_t sequence = 0;
     instance_id from;
     instance_id subject;      ///< target of an indirect probe
-    endpoint_address address; ///< address of the subject, for an indirect probe
+    endpoint_address address; ///< address of the subject
     std::vector<record> changes;
     bool operator==(const message&) const = default;
 };
@@ -40,16 +41,16 @@
 
 struct effects {
     std::vector<outgoing> messages;
-    std::vector<record>
-        changed; ///< records whose status or incarnation changed, for the owner of the detector
+    std::vector<record> changed; ///< records whose status or incarnation changed
 };
 
 struct options {
     record self;
     std::vector<endpoint_address> seeds;
-    // One interval, two timeouts and the suspicion make 277 ms, within the 300 ms for detection. The last two
-    // exceed a pause of 200 ms, which must not end in a death. A shorter interval would need more than 2 KB/s
-    // with UDP and IP headers (benchmark/membership_cost.cpp).
+    // A death is detected within one probe interval, two probe timeouts and one suspicion timeout: 277 ms,
+    // less than the required 300 ms. The timeouts add up to more than 200 ms, so that a pause of that length
+    // is not taken for a death. A shorter interval would need more than 2 KB/s with UDP and IP headers
+    // (benchmark/membership_cost.cpp).
     duration probe_interval = std::chrono::milliseconds(72);
     duration probe_timeout = std::chrono::milliseconds(20);
     duration suspicion_timeout = std::chrono::milliseconds(165);
@@ -59,16 +60,16 @@
     std::uint64_t seed = 1;
 };
 
-/// Failure detector with piggybacked changes that probes its successor in a ring of all members, and more
-/// rarely a random member; the cost per instance does not grow with their number. Deaths and refutations are
-/// passed on at once. Has no clock and no socket.
+/// SWIM-like failure detector. Probes its successor in a ring of all members, and less often a random member,
+/// so the cost per instance does not grow with their number. Changes are piggybacked on the messages; deaths
+/// and refutations are also sent at once. The caller passes the time and sends the messages.
 class detector {
 public:
     detector(options settings, time_point now);
 
     effects tick(time_point now);
     effects receive(const message& received, const endpoint_address& from, time_point now);
-    /// Announces that this instance leaves, so that the others need no suspicion timeout.
+    /// Announces that this instance leaves, so that the others do not wait for a suspicion timeout.
     effects leave(time_point now);
 
     std::vector<record> members() const;
--- a/src/membership/member_list.h
+++ b/src/membership/member_list.h
@@ -7,57 +7,57 @@
 
 namespace kingcupseam::membership {
 
-/// Records of all other instances, with the changes that are still to be passed on.
+/// Records of all other instances, and the changes that are still to be sent to them.
 class member_list {
 public:
     struct member {
         record known;
-        time_point since{};            ///< when the status was learned
-        std::uint32_t transmitted = 0; ///< how often this record was passed on
-        std::uint32_t checks = 0;      ///< probes sent to the member because it is a suspect
-        bool queued = false;           ///< whether the record is still to be passed on
+        time_point since{};               ///< when the status was learned
+        std::uint32_t transmissions = 0;  ///< number of messages that carried this record
+        std::uint32_t suspect_probes = 0; ///< probes sent to the member because it is a suspect
+        bool queued = false;              ///< whether the record is in pending_updates_
     };
 
     member_list(const options& settings, std::mt19937_64& random) : settings_(settings), random_(random) {}
 
-    /// Takes over a record that supersedes what is known. @returns true when status or incarnation changed
+    /// Stores a record if it supersedes the known one. @returns true when status or incarnation changed
     bool apply(const record& received, time_point now);
-    /// Queues the record of this instance for passing on.
+    /// Queues the record of this instance for sending.
     void announce_self(const record& self);
-    /// Up to max_piggyback changes, the least transmitted first.
+    /// Up to max_piggyback changes, those sent least often first.
     std::vector<record> changes_to_send();
     void extend_suspicions(duration pause);
-    /// Suspects that are due to be probed by this instance itself.
-    std::vector<record> suspects_to_check(time_point now);
-    void forget_dead(time_point now);
+    /// Suspects that this instance has to probe now.
+    std::vector<record> suspects_to_probe(time_point now);
+    void remove_expired(time_point now);
 
     const member* find(const std::string& name) const;
     const std::map<std::string, member>& all() const { return members_; }
-    /// Next member to probe, in an order that is shuffled for each round; null when there is none.
-    const member* next_to_probe();
-    /// The member after @p name in the ring of all usable members, which are ordered by the hashes of their
-    /// names.
+    /// Next member to probe, in an order that is shuffled for each round; null without active members.
+    const member* next_random_target();
+    /// The member after @p name in the ring of all active members, ordered by the hashes of their names.
     const member* successor_of(const std::string& name) const;
-    /// Random members with one of the statuses, without @p except.
-    std::vector<const member*> pick(std::size_t count, bool usable, const std::string& except);
-    std::size_t usable_count() const;
-    /// Kept as a count, since it is asked for in every tick.
+    /// Up to @p count random members other than @p except: active ones, or dead ones when @p active is false.
+    std::vector<const member*> random_members(std::size_t count, bool active, const std::string& except);
+    std::size_t active_count() const;
+    /// Constant time, since it is called in every tick.
     bool any_suspect() const { return suspects_ > 0; }
 
 private:
     std::uint32_t transmission_limit() const;
-    void set(member& it, const record& received, time_point now);
+    void replace(member& it, const record& received, time_point now);
 
     const options& settings_;
     std::mt19937_64& random_;
     std::map<std::string, member> members_;
     std::size_t suspects_ = 0;
     member self_;
-    std::vector<member*> queue_;     ///< members with a record to pass on
-    std::vector<std::string> round_; ///< names that are still to be probed in this round
+    std::vector<member*> pending_updates_; ///< members whose record is still to be sent
+    std::vector<std::string> probe_round_; ///< names that are still to be probed in this round
 };
 
-inline bool usable(status condition) {
+/// True for a member that runs as far as is known: alive or suspect.
+inline bool is_active(status condition) {
     return condition == status::alive || condition == status::suspect;
 }
 
--- a/tests/membership/detector_test.cpp
+++ b/tests/membership/detector_test.cpp
@@ -41,7 +41,7 @@
     CHECK(it.seen(status::alive, "i12") >= 12);
 }
 
-TEST_CASE("a loss is known to all within the 300 ms for detection") {
+TEST_CASE("all members detect a loss within 300 ms") {
     group it(12, 4, 0);
     it.net.stop(7);
     it.net.run(300ms);
@@ -57,7 +57,7 @@
     CHECK(net.missing() == 0);
 }
 
-TEST_CASE("a lost instance is seen as dead by all") {
+TEST_CASE("all members see a lost instance as dead") {
     group it(12);
     it.net.stop(7);
     it.net.run(2s);
@@ -65,7 +65,7 @@
     CHECK_FALSE(it.net.at(3).alive({"i7", 1}));
     CHECK(it.net.missing() == 0);
 
-    SUBCASE("it returns with a higher incarnation") {
+    SUBCASE("the instance returns with a higher incarnation") {
         it.net.start(7, 2);
         it.net.run(3s);
         CHECK(it.net.missing() == 0);
@@ -82,14 +82,14 @@
     it.net.pause(7, false);
     it.net.run(3s);
     CHECK(it.net.missing() == 0);
-    SUBCASE("it takes no other for dead after its own pause") {
+    SUBCASE("the paused instance does not declare others dead") {
         CHECK(std::none_of(it.changes.begin(), it.changes.end(), [](const auto& one) {
             return one.first == 7 && one.second.condition == status::dead;
         }));
     }
 }
 
-TEST_CASE("a short pause is suspected and refuted without a death") {
+TEST_CASE("an instance that pauses for 200 ms is suspected, but not declared dead") {
     group it(12, 3, 0);
     it.net.pause(7, true);
     it.net.run(200ms);
@@ -100,7 +100,7 @@
     CHECK(it.seen(status::suspect, "i7") > 0);
 }
 
-TEST_CASE("an instance that leaves is known to have left before a suspicion could end") {
+TEST_CASE("an instance that leaves is known to have left, and is not declared dead") {
     group it(12);
     it.net.leave(7);
     it.net.run(2s);
@@ -108,23 +108,23 @@
     CHECK(it.seen(status::dead, "i7") == 0);
 }
 
-TEST_CASE("a healed partition merges again by itself") {
+TEST_CASE("both sides of a partition merge after it heals") {
     group it(20);
     it.net.split(8);
     it.net.run(20s);
     CHECK_FALSE(it.net.at(2).alive({"i15", 1}));
     CHECK_FALSE(it.net.at(15).alive({"i2", 1}));
     CHECK(it.net.at(2).alive({"i7", 1}));
-    SUBCASE("while the dead are remembered") {
+    SUBCASE("while the records of dead members are kept") {
         it.changes.clear();
         it.net.split(0);
         it.net.run(10s);
         CHECK(it.net.missing() == 0);
-        // No side may take over the other side's view of its own members.
+        // Neither side may adopt the other side's records of its own members as dead.
         CHECK(std::none_of(it.changes.begin(), it.changes.end(),
                            [](const auto& one) { return one.second.condition == status::dead; }));
     }
-    SUBCASE("after the dead were forgotten, through the seeds") {
+    SUBCASE("through the seeds, after the records of dead members have expired") {
         it.net.run(11min);
         it.net.split(0);
         it.net.run(30s);
@@ -132,7 +132,7 @@
     }
 }
 
-TEST_CASE("one lost message does not make a suspect") {
+TEST_CASE("1% message loss does not make a member dead") {
     group it(12, 5, 0.01);
     it.net.run(60s);
     CHECK(std::none_of(it.changes.begin(), it.changes.end(),
