--- a/benchmark/admission_floods.cpp
+++ b/benchmark/admission_floods.cpp
@@ -54,10 +54,10 @@
     }
     std::optional<queued_request> next(time_point now, std::vector<queued_request>& expired) override {
         advance(now);
-        for (auto& line : waiting_) {
-            while (!line.empty() && line.front().deadline <= now) {
-                expired.push_back(line.front());
-                line.pop_front();
+        for (auto& queued : waiting_) {
+            while (!queued.empty() && queued.front().deadline <= now) {
+                expired.push_back(queued.front());
+                queued.pop_front();
             }
         }
         const auto chosen = choose();
--- a/benchmark/membership_cost.cpp
+++ b/benchmark/membership_cost.cpp
@@ -39,7 +39,7 @@
     std::size_t undetected = 0;
 };
 
-membership::options tuned(duration interval, duration timeout, duration suspicion) {
+membership::options with_timeouts(duration interval, duration timeout, duration suspicion) {
     membership::options settings;
     settings.probe_interval = interval;
     settings.probe_timeout = timeout;
@@ -121,7 +121,7 @@
     std::printf("%-8s %7s %10s %9s %9s %8s %8s %8s %8s %6s %6s\n", "tuning", "members", "messages", "bytes",
                 "on wire", "p50", "p90", "p99", "max", "false", "missed");
     // Settings for a group in which detection within a second is enough.
-    measure("slow", 60, tuned(150ms, 60ms, 200ms), 10);
+    measure("slow", 60, with_timeouts(150ms, 60ms, 200ms), 10);
     // A run of 540 members takes minutes of computing time.
     bool failed = false;
     for (const std::size_t members : {4, 10, 60, 180}) {
