--- a/tests/ownership/scenario_test.cpp
+++ b/tests/ownership/scenario_test.cpp
@@ -24,7 +24,7 @@
         expect_ = expect;
         for (const auto& it : script_.steps) {
             CAPTURE(it.verb);
-            act(it);
+            run_step(it);
         }
         return simulation_;
     }
@@ -41,7 +41,7 @@
         return options;
     }
 
-    void act(const kingcupseam::test::scenario_step& it) {
+    void run_step(const kingcupseam::test::scenario_step& it) {
         const auto name = it.text("name");
         if (it.verb == "gates") {
             for (const auto& gate : it.list("names")) {
