--- a/src/app/instance/control.cpp
+++ b/src/app/instance/control_plane.cpp
@@ -1,4 +1,4 @@
-#include "app/instance/control.h"
+#include "app/instance/control_plane.h"
 
 #include "app/instance/announcement.h"
 #include "app/instance/membership_codec.h"
@@ -40,8 +40,8 @@
 
 } // namespace
 
-control::control(asio::io_context& context, const settings::instance_settings& settings,
-                 std::uint64_t incarnation, metrics::registry& registry, observer callbacks)
+control_plane::control_plane(asio::io_context& context, const settings::instance_settings& settings,
+                             std::uint64_t incarnation, metrics::registry& registry, observer callbacks)
     : io_(context), settings_(settings), callbacks_(std::move(callbacks)),
       mesh_(context, {{settings.name, incarnation}, settings.data_center}, link_options_of(settings),
             [this](const auto& from, const transport::frame& received) { on_frame(from, received); }),
@@ -72,7 +72,7 @@
     schedule_tick();
 }
 
-void control::schedule_tick() {
+void control_plane::schedule_tick() {
     timer_.expires_after(tick_interval);
     timer_.async_wait([this](const asio::error_code& ec) {
         if (!ec && !stopped_) {
@@ -82,10 +82,10 @@
     });
 }
 
-void control::tick(time_point now) {
+void control_plane::tick(time_point now) {
     global_.tick(now);
     data_center_.tick(now);
-    send(detector_.tick(now));
+    perform(detector_.tick(now));
     if (now >= next_gossip_) {
         next_gossip_ = now + gossip_interval;
         gossip(now);
@@ -98,7 +98,7 @@
     }
 }
 
-std::string control::gossip_target() {
+std::string control_plane::pick_gossip_target() {
     // An instance without a group reports to the leader, which alone forms groups; and only the leader can
     // tell a starting instance that its state is current.
     if ((!global_.ready() || data_center_.ungrouped(steady_now())) &&
@@ -113,7 +113,7 @@
     return it->first;
 }
 
-void control::gossip(time_point now) {
+void control_plane::gossip(time_point now) {
     wire::StateRequest request;
     request.known_version = global_.state().version;
     request.sender = to_wire(shared_.self());
@@ -125,7 +125,7 @@
         global_.on_state_request(request, now);
         return;
     }
-    if (auto* const link = shared_.link_to(gossip_target())) {
+    if (auto* const link = shared_.link_to(pick_gossip_target())) {
         link->request({transport::frame_type::state_request, 0, transport::encode(request)}, gossip_timeout,
                       [this](const transport::reply& it) {
                           if (it.answer) {
@@ -136,7 +136,7 @@
     }
 }
 
-void control::fetch_tables() {
+void control_plane::fetch_tables() {
     std::map<std::string, std::vector<std::string>> by_data_center;
     for (const auto& [name, it] : shared_.instances) {
         if (it.data_center != settings_.data_center) {
@@ -163,14 +163,15 @@
     }
 }
 
-std::optional<wire::TableUpdate> control::table_for(const wire::TableRequest& request) const {
+std::optional<wire::TableUpdate> control_plane::table_for(const wire::TableRequest& request) const {
     if (request.data_center != settings_.data_center) {
         return std::nullopt;
     }
     return data_center_.newer_table(request.known_generation, request.known_version);
 }
 
-void control::on_frame(const std::shared_ptr<transport::connection>& from, const transport::frame& received) {
+void control_plane::on_frame(const std::shared_ptr<transport::connection>& from,
+                             const transport::frame& received) {
     using transport::decode;
     using transport::encode;
     using transport::frame_type;
@@ -230,10 +231,10 @@
     }
 }
 
-void control::on_datagram(const endpoint_address& from, std::string_view payload) {
+void control_plane::on_datagram(const endpoint_address& from, std::string_view payload) {
     usage_.count_datagram();
     try {
-        send(detector_.receive(decode_membership_message(payload), from, steady_now()));
+        perform(detector_.receive(decode_membership_message(payload), from, steady_now()));
     } catch (const transport::malformed_frame&) {
         shared_.registry
             .counter_of("kingcupseam_malformed_datagrams_total", "Membership datagrams that did not decode")
@@ -241,7 +242,7 @@
     }
 }
 
-void control::send(const membership::effects& effects) {
+void control_plane::perform(const membership::effects& effects) {
     for (const auto& it : effects.messages) {
         datagrams_->send(it.to, encode_membership_message(it.body));
     }
@@ -254,7 +255,7 @@
     }
 }
 
-void control::on_global_state(const wire::GlobalState& state) {
+void control_plane::on_global_state(const wire::GlobalState& state) {
     data_center_.on_global_state(state);
     view_.homes.clear();
     for (const auto& [service, homes] : state.homes) {
@@ -270,7 +271,7 @@
     publish();
 }
 
-void control::on_table(const std::string& data_center, std::shared_ptr<const ownership::table> rows) {
+void control_plane::on_table(const std::string& data_center, std::shared_ptr<const ownership::table> rows) {
     auto& current = view_.tables[data_center];
     if (current && (current->generation > rows->generation ||
                     (current->generation == rows->generation && current->version >= rows->version))) {
@@ -280,7 +281,7 @@
     publish();
 }
 
-void control::publish() {
+void control_plane::publish() {
     view_.instances = shared_.instances;
     auto next = std::make_shared<routing_view>(view_);
     if (!global_.ready()) {
@@ -290,7 +291,7 @@
     callbacks_.on_view(std::move(next));
 }
 
-void control::on_announce(const http_request& request, const http_reply& reply) {
+void control_plane::on_announce(const http_request& request, const http_reply& reply) {
     try {
         const auto announced = parse_announcement(request);
         data_center_.on_announce(announced, [this, reply](bool accepted) {
@@ -302,19 +303,19 @@
     }
 }
 
-void control::start_stopping() {
+void control_plane::begin_shutdown() {
     stopping_ = true;
     stopping_since_ = steady_now();
     operator_api_->set_stopping();
-    data_center_.start_stopping();
-    send(detector_.leave(steady_now()));
+    data_center_.begin_shutdown();
+    perform(detector_.leave(steady_now()));
 }
 
-bool control::unready_long_enough() const {
+bool control_plane::unready_period_elapsed() const {
     return steady_now() - stopping_since_ > unready_period;
 }
 
-bool control::handed_over() const {
+bool control_plane::handed_over() const {
     const auto* rows = view_.local_table();
     return rows == nullptr ||
            std::none_of(rows->upstreams.begin(), rows->upstreams.end(), [this](const auto& it) {
@@ -322,7 +323,7 @@
            });
 }
 
-void control::stop() {
+void control_plane::stop() {
     stopped_ = true;
     timer_.cancel();
     server_->stop();
--- a/src/app/instance/control.h
+++ b/src/app/instance/control_plane.h
@@ -17,34 +17,34 @@
 
 /// Everything that the control thread owns: both groups, membership, the newest routing view, and the
 /// listeners of other instances, upstreams and operators.
-class control {
+class control_plane {
 public:
     struct observer {
         std::function<void(std::shared_ptr<const routing_view>)> on_view;
         std::function<void(time_point)> on_lease;
     };
 
-    control(asio::io_context& context, const settings::instance_settings& settings, std::uint64_t incarnation,
-            metrics::registry& registry, observer callbacks);
+    control_plane(asio::io_context& context, const settings::instance_settings& settings,
+                  std::uint64_t incarnation, metrics::registry& registry, observer callbacks);
 
     void on_gate_report(gate_report report) { data_center_.on_gate_report(std::move(report)); }
     /// Asks the leader to give this instance's gates to others.
-    void start_stopping();
+    void begin_shutdown();
     /// True once no row names this instance as a gate.
     bool handed_over() const;
     /// True once the platform's load balancer has had time to see that this instance is not ready.
-    bool unready_long_enough() const;
+    bool unready_period_elapsed() const;
     void stop();
 
 private:
     void schedule_tick();
     void tick(time_point now);
     void gossip(time_point now);
-    std::string gossip_target();
+    std::string pick_gossip_target();
     void fetch_tables();
     void on_frame(const std::shared_ptr<transport::connection>& from, const transport::frame& received);
     void on_datagram(const endpoint_address& from, std::string_view payload);
-    void send(const membership::effects& effects);
+    void perform(const membership::effects& effects);
     void on_global_state(const wire::GlobalState& state);
     void on_table(const std::string& data_center, std::shared_ptr<const ownership::table> rows);
     void publish();
--- a/src/app/instance/data_center_tier.h
+++ b/src/app/instance/data_center_tier.h
@@ -82,7 +82,7 @@
     /// leader.
     void on_announce(const wire::Announce& announced, std::function<void(bool)> done);
     std::uint32_t shards_of(const std::string& service) const;
-    void start_stopping() { stopping_ = true; }
+    void begin_shutdown() { stopping_ = true; }
 
     bool leads() const { return group_ && group_->leads(); }
     const std::string& leader() const noexcept { return leader_; }
--- a/src/app/instance/entry.cpp
+++ b/src/app/instance/entry.cpp
@@ -235,7 +235,7 @@
         .record(static_cast<std::uint64_t>((steady_now() - it.arrived).count()));
 }
 
-void entry::start_stopping() {
+void entry::begin_shutdown() {
     stopping_ = true;
 }
 
--- a/src/app/instance/entry.h
+++ b/src/app/instance/entry.h
@@ -27,7 +27,7 @@
     /// Dials the gates of a new view, so that no request waits for a connection.
     void on_view_changed();
     /// Refuses new requests; those in progress go on.
-    void start_stopping();
+    void begin_shutdown();
     std::size_t in_progress() const noexcept { return in_progress_; }
     void stop();
 
--- a/src/app/instance/instance.cpp
+++ b/src/app/instance/instance.cpp
@@ -1,6 +1,6 @@
 #include "app/instance/instance.h"
 
-#include "app/instance/control.h"
+#include "app/instance/control_plane.h"
 #include "app/instance/entry.h"
 #include "app/instance/gate.h"
 #include "app/worker.h"
@@ -39,7 +39,7 @@
     worker gate_worker_;
     std::unique_ptr<gate> gate_;
     std::unique_ptr<entry> entry_;
-    std::unique_ptr<control> control_;
+    std::unique_ptr<control_plane> control_;
     asio::signal_set signals_{control_worker_.io, SIGTERM, SIGINT};
     asio::steady_timer shutdown_timer_{control_worker_.io};
     time_point shutdown_deadline_;
@@ -53,14 +53,14 @@
                                      [this](const wire::ForwardRequest& request, gate_reply reply) {
                                          submit_to_gate(request, std::move(reply));
                                      });
-    control_ = std::make_unique<control>(
+    control_ = std::make_unique<control_plane>(
         control_worker_.io, settings_, incarnation_, registry_,
-        control::observer{[this](std::shared_ptr<const routing_view> view) {
-                              views_.store(std::move(view));
-                              asio::post(gate_worker_.io, [this] { gate_->on_view_changed(); });
-                              asio::post(entry_worker_.io, [this] { entry_->on_view_changed(); });
-                          },
-                          [this](time_point end) { gate_->set_lease_end(end); }});
+        control_plane::observer{[this](std::shared_ptr<const routing_view> view) {
+                                    views_.store(std::move(view));
+                                    asio::post(gate_worker_.io, [this] { gate_->on_view_changed(); });
+                                    asio::post(entry_worker_.io, [this] { entry_->on_view_changed(); });
+                                },
+                                [this](time_point end) { gate_->set_lease_end(end); }});
     gate_->on_report([this](gate_report report) {
         asio::post(control_worker_.io, [this, report = std::move(report)]() mutable {
             control_->on_gate_report(std::move(report));
@@ -96,7 +96,7 @@
 void instance::start_shutdown() {
     spdlog::info("stopping instance={}", settings_.name);
     shutdown_deadline_ = steady_now() + settings_.shutdown_grace;
-    control_->start_stopping();
+    control_->begin_shutdown();
     poll_shutdown();
 }
 
@@ -104,11 +104,11 @@
     constexpr duration poll_interval = std::chrono::milliseconds(20);
     asio::post(entry_worker_.io, [this] { entry_in_progress_ = entry_->in_progress(); });
     asio::post(gate_worker_.io, [this] { gate_idle_ = gate_->idle(); });
-    if (control_->unready_long_enough()) {
-        asio::post(entry_worker_.io, [this] { entry_->start_stopping(); });
+    if (control_->unready_period_elapsed()) {
+        asio::post(entry_worker_.io, [this] { entry_->begin_shutdown(); });
     }
-    const bool done =
-        control_->handed_over() && control_->unready_long_enough() && entry_in_progress_ == 0 && gate_idle_;
+    const bool done = control_->handed_over() && control_->unready_period_elapsed() &&
+                      entry_in_progress_ == 0 && gate_idle_;
     if (done || steady_now() > shutdown_deadline_) {
         finish_shutdown();
         return;
