--- a/src/app/instance/control_context.cpp
+++ b/src/app/instance/control_context.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-bool control_context::learn(const instance_info& known) {
+bool control_context::update_instance(const instance_info& known) {
     if (known.name == settings.name || known.name.empty()) {
         return false;
     }
--- a/src/app/instance/control_context.h
+++ b/src/app/instance/control_context.h
@@ -25,7 +25,7 @@
     std::map<std::string, instance_info> instances; ///< every instance that this one knows, itself included
 
     /// Remembers an instance; a higher incarnation replaces a lower one. @returns true when something changed
-    bool learn(const instance_info& known);
+    bool update_instance(const instance_info& known);
     /// Link to a known instance; null for an unknown one and for this instance itself.
     transport::peer_link* link_to(const std::string& name);
     instance_info self() const;
--- a/src/app/instance/control_plane.cpp
+++ b/src/app/instance/control_plane.cpp
@@ -55,7 +55,7 @@
     view_.self = settings.name;
     view_.data_center = settings.data_center;
     for (const auto& it : settings.seeds) {
-        shared_.learn({it.name, 0, it.data_center, it.address});
+        shared_.update_instance({it.name, 0, it.data_center, it.address});
     }
     server_ = std::make_unique<transport::peer_server>(
         context, settings.peer_listen,
@@ -176,7 +176,7 @@
     using transport::encode;
     using transport::frame_type;
     const time_point now = steady_now();
-    usage_.count(received);
+    usage_.count_frame(received);
     switch (received.type) {
     case frame_type::consensus_message: {
         const auto message = from_wire(decode<wire::ConsensusMessage>(received.payload));
@@ -248,7 +248,7 @@
     }
     for (const auto& it : effects.changed) {
         if (it.condition == membership::status::alive) {
-            shared_.learn({it.id.name, it.id.incarnation, settings_.data_center, it.address});
+            shared_.update_instance({it.id.name, it.id.incarnation, settings_.data_center, it.address});
         }
         spdlog::info("instance changed name={} incarnation={} status={}", it.id.name, it.id.incarnation,
                      static_cast<int>(it.condition));
--- a/src/app/instance/control_usage.cpp
+++ b/src/app/instance/control_usage.cpp
@@ -41,7 +41,7 @@
                                       "Processor time used by the control thread")),
       resident_bytes_(registry.gauge_of("kingcupseam_resident_bytes", "Resident memory of the process")) {}
 
-void control_usage::count(const transport::frame& received) {
+void control_usage::count_frame(const transport::frame& received) {
     auto it = by_type_.find(received.type);
     if (it == by_type_.end()) {
         const metrics::labels tags{{"type", std::to_string(static_cast<int>(received.type))}};
--- a/src/app/instance/control_usage.h
+++ b/src/app/instance/control_usage.h
@@ -15,7 +15,7 @@
 
     /// Counts a frame that reached the control thread's frame handler. Replies to requests and heartbeats are
     /// contained only in the byte totals.
-    void count(const transport::frame& received);
+    void count_frame(const transport::frame& received);
     void count_datagram();
     /// Writes the totals of the links and the use of processor time and memory to the registry.
     void update(const peer_mesh& links, const transport::peer_server& server,
--- a/src/app/instance/data_center_leader.cpp
+++ b/src/app/instance/data_center_leader.cpp
@@ -74,7 +74,7 @@
     reply.generation = static_cast<std::int64_t>(generation_);
     reply.leader = known_leader();
     const auto info = from_wire(request.gate);
-    shared_.learn(info);
+    shared_.update_instance(info);
     if (!leads() || static_cast<std::uint64_t>(request.generation) != generation_) {
         return reply;
     }
--- a/src/app/instance/global_tier.cpp
+++ b/src/app/instance/global_tier.cpp
@@ -125,7 +125,7 @@
 }
 
 wire::StateReply global_tier::on_state_request(const wire::StateRequest& request, time_point now) {
-    shared_.learn(from_wire(request.sender));
+    shared_.update_instance(from_wire(request.sender));
     if (request.ungrouped) {
         note_ungrouped(request, now);
     }
@@ -147,7 +147,7 @@
 
 void global_tier::on_state_reply(const wire::StateReply& reply, time_point /*now*/) {
     for (const auto& it : reply.instances) {
-        shared_.learn(from_wire(it));
+        shared_.update_instance(from_wire(it));
     }
     // A spare with a disk has a group, but is told of the leader only once it is a member.
     const bool told = group_ && group_->node().leader().has_value();
