--- a/src/app/instance/data_center_leader.cpp
+++ b/src/app/instance/data_center_leader.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void data_center_tier::lead(time_point now) {
+void data_center_tier::run_leader_duties(time_point now) {
     const bool leading = leads();
     if (leading && !was_leader_) {
         become_leader(now);
@@ -45,23 +45,23 @@
 
 void data_center_tier::become_leader(time_point now) {
     spdlog::info("leading data centre group generation={} term={}", generation_, group_->node().term());
-    led_since_ = now;
-    contacts_.clear();
+    leader_since_ = now;
+    instances_.clear();
     upstreams_.clear();
     proposed_homes_.clear();
-    outstanding_ = 0;
-    mirroring_ = 0;
-    mirrored_ = 0;
+    pending_proposals_ = 0;
+    active_mirror_ = 0;
+    mirrored_version_ = 0;
     next_mirror_ = now;
     planner_ = ownership::make_fewest_moves_planner({});
 }
 
-bool data_center_tier::supported(time_point now) const {
+bool data_center_tier::majority_requested_lease(time_point now) const {
     // An instance supports one generation at a time. With a majority needed for each, two generations cannot
     // both be supported, whatever part of the data centre is cut off.
     const std::size_t size = std::max<std::size_t>(shared_.settings.data_center_size, 1);
     const std::size_t needed = size / 2 + 1;
-    const auto recent = std::count_if(contacts_.begin(), contacts_.end(), [now](const auto& it) {
+    const auto recent = std::count_if(instances_.begin(), instances_.end(), [now](const auto& it) {
         return now - it.second.last_request < gate_lease;
     });
     return static_cast<std::size_t>(recent) >= needed;
@@ -78,22 +78,22 @@
     if (!leads() || static_cast<std::uint64_t>(request.generation) != generation_) {
         return reply;
     }
-    auto& contact = contacts_[info.name];
-    contact.info = info;
-    contact.last_request = now;
-    contact.stopping = request.stopping;
-    contact.table_version = request.table_version;
-    note_reports(request, now);
-    if (supported(now)) {
+    auto& tracked = instances_[info.name];
+    tracked.info = info;
+    tracked.last_request = now;
+    tracked.stopping = request.stopping;
+    tracked.table_version = request.table_version;
+    record_reports(request, now);
+    if (majority_requested_lease(now)) {
         reply.granted = true;
         reply.lease_us = gate_lease.count();
-        contact.lease_until = now + gate_lease + drift_margin;
+        tracked.lease_until = now + gate_lease + drift_margin;
     }
     return reply;
 }
 
-void data_center_tier::note_reports(const wire::GateLeaseRequest& request, time_point now) {
-    auto& gate = contacts_[request.gate.name];
+void data_center_tier::record_reports(const wire::GateLeaseRequest& request, time_point now) {
+    auto& gate = instances_[request.gate.name];
     if (gate.applied_epoch != static_cast<ownership::epoch_number>(request.applied_epoch)) {
         next_plan_ = now; // a move may wait for this gate
     }
@@ -115,25 +115,25 @@
             row->incarnation != static_cast<std::uint64_t>(it.incarnation)) {
             continue;
         }
-        auto& contact = upstreams_[it.name];
-        contact.reporting_gate = request.gate.name;
-        contact.incarnation = row->incarnation;
-        next_plan_ = contact.health == it.health ? next_plan_ : now;
-        contact.health = it.health;
-        contact.acknowledged = static_cast<ownership::epoch_number>(it.granted_version);
+        auto& tracked = upstreams_[it.name];
+        tracked.reporting_gate = request.gate.name;
+        tracked.incarnation = row->incarnation;
+        next_plan_ = tracked.health == it.health ? next_plan_ : now;
+        tracked.health = it.health;
+        tracked.acknowledged = static_cast<ownership::epoch_number>(it.granted_version);
     }
 }
 
-time_point data_center_tier::grant_bound(const ownership::upstream_row& row) const {
+time_point data_center_tier::latest_grant_end(const ownership::upstream_row& row) const {
     // Grants of the former leader's gates end within the gate lease that it may have renewed until it lost
     // its quorum.
-    time_point bound = led_since_ + gate_lease + drift_margin;
+    time_point bound = leader_since_ + gate_lease + drift_margin;
     if (generation_ > 1) {
         // The leader of the former generation counts a supporter for one lease after its last request and may
         // grant until then, so its gates can act for two leases after this generation first had a majority.
         bound = std::max(bound, first_granted_ + 2 * gate_lease + 2 * drift_margin);
     }
-    for (const auto& [name, it] : contacts_) {
+    for (const auto& [name, it] : instances_) {
         const bool renews = row.gate == name && row.condition != ownership::upstream_status::lost;
         if (renews || it.applied_epoch < row.epoch) {
             // It may renew the grant, or may have done so since its last report, but never past its own
@@ -163,7 +163,7 @@
 
 /// While a lost incarnation still owns shards, the planner waits for the end of its grants, not of its
 /// successor's.
-bool bound_of_other_incarnation(const ownership::table& rows, const ownership::upstream_row& row) {
+bool lost_incarnation_owns_shards(const ownership::table& rows, const ownership::upstream_row& row) {
     return std::any_of(rows.upstreams.begin(), rows.upstreams.end(), [&](const ownership::upstream_row& it) {
         return &it != &row && it.name == row.name && it.condition == ownership::upstream_status::lost &&
                owns_shards(rows, it);
@@ -172,20 +172,21 @@
 
 } // namespace
 
-ownership::cluster_view data_center_tier::view_of(const ownership::table& rows, time_point now) const {
+ownership::cluster_view data_center_tier::make_cluster_view(const ownership::table& rows,
+                                                            time_point now) const {
     ownership::cluster_view view;
     view.live_replicas = live_replicas(now);
-    for (const auto& [name, it] : contacts_) {
+    for (const auto& [name, it] : instances_) {
         if (!it.stopping && now - it.last_request < instance_lost_after) {
             view.live_instances.insert(name);
             view.hot_keys.insert(view.hot_keys.end(), it.hot_keys.begin(), it.hot_keys.end());
         }
     }
     for (const auto& row : rows.upstreams) {
-        if (bound_of_other_incarnation(rows, row)) {
+        if (lost_incarnation_owns_shards(rows, row)) {
             continue;
         }
-        view.grant_may_live_until[row.name] = grant_bound(row);
+        view.grant_may_live_until[row.name] = latest_grant_end(row);
         const auto it = upstreams_.find(row.name);
         if (it != upstreams_.end() && it->second.incarnation == row.incarnation) {
             view.acknowledged_version[row.name] = it->second.acknowledged;
@@ -196,22 +197,22 @@
 }
 
 void data_center_tier::plan(time_point now) {
-    if (outstanding_ > 0 || !supported(now) || first_granted_ == time_point{}) {
+    if (pending_proposals_ > 0 || !majority_requested_lease(now) || first_granted_ == time_point{}) {
         return;
     }
     const auto rows = machine_->current();
     plan_homes(*rows);
     plan_ledger_groups(*rows, now);
-    plan_conditions(*rows, now);
-    if (outstanding_ > 0) {
+    propose_lost_upstreams(*rows, now);
+    if (pending_proposals_ > 0) {
         return;
     }
-    for (const auto& it : planner_->plan(*rows, view_of(*rows, now), now)) {
+    for (const auto& it : planner_->plan(*rows, make_cluster_view(*rows, now), now)) {
         propose(it);
     }
 }
 
-void data_center_tier::plan_conditions(const ownership::table& rows, time_point now) {
+void data_center_tier::propose_lost_upstreams(const ownership::table& rows, time_point now) {
     for (const auto& row : rows.upstreams) {
         const auto it = upstreams_.find(row.name);
         if (rows.find(row.name) != &row || it == upstreams_.end() ||
@@ -248,11 +249,11 @@
 }
 
 void data_center_tier::propose(const ownership::command& change) {
-    ++outstanding_;
+    ++pending_proposals_;
     const auto term = group_->node().term();
     group_->propose(ownership::encode(change), [this, term](const auto&) {
-        if (outstanding_ > 0 && group_->node().term() == term) {
-            --outstanding_;
+        if (pending_proposals_ > 0 && group_->node().term() == term) {
+            --pending_proposals_;
         }
     });
 }
@@ -287,7 +288,7 @@
                        row->condition != ownership::upstream_status::lost &&
                        row->address == change.row.address &&
                        announced.draining == (row->condition == ownership::upstream_status::draining);
-    const auto shards = shards_of(announced.service_name);
+    const auto shards = shard_count_of(announced.service_name);
     if (known || shards == 0) {
         done(known);
         return;
@@ -300,7 +301,7 @@
                     [done = std::move(done)](const auto& result) { done(result.has_value()); });
 }
 
-std::uint32_t data_center_tier::shards_of(const std::string& service) const {
+std::uint32_t data_center_tier::shard_count_of(const std::string& service) const {
     if (global_.state().profiles.empty()) {
         return 0;
     }
@@ -320,34 +321,34 @@
 
 void data_center_tier::mirror_and_publish(time_point now) {
     const auto rows = machine_->current();
-    if (mirroring_ == 0 && now >= next_mirror_ && mirrored_ < rows->version) {
+    if (active_mirror_ == 0 && now >= next_mirror_ && mirrored_version_ < rows->version) {
         start_mirror(rows, now);
     }
     // Without an answer in time the data centre is cut off from the global group and goes on with its own
     // group alone; the mirror is retried until it has caught up.
-    if (newer_than_published(*rows) && (mirroring_ == 0 || now - mirror_since_ > mirror_wait)) {
+    if (newer_than_published(*rows) && (active_mirror_ == 0 || now - mirror_since_ > mirror_wait)) {
         publish(rows);
     }
 }
 
 void data_center_tier::start_mirror(const std::shared_ptr<const ownership::table>& rows, time_point now) {
-    mirroring_ = ++mirror_serial_;
+    active_mirror_ = ++mirror_serial_;
     mirror_since_ = now;
     wire::TableMirror mirror;
     mirror.data_center = shared_.settings.data_center;
     mirror.generation = static_cast<std::int64_t>(generation_);
     mirror.version = static_cast<std::int64_t>(rows->version);
     mirror.table = ownership::encode(*rows);
-    global_.propose(encode_mirror(mirror), [this, rows, serial = mirroring_](const auto& result) {
-        if (mirroring_ != serial) {
+    global_.propose(encode_mirror(mirror), [this, rows, serial = active_mirror_](const auto& result) {
+        if (active_mirror_ != serial) {
             return; // of an earlier leadership
         }
-        mirroring_ = 0;
+        active_mirror_ = 0;
         if (!result) {
             next_mirror_ = steady_now() + mirror_retry;
             return;
         }
-        mirrored_ = rows->version;
+        mirrored_version_ = rows->version;
         if (leads() && newer_than_published(*rows)) {
             publish(rows);
         }
@@ -363,7 +364,7 @@
 void data_center_tier::push_table() {
     const auto update = newer_table(0, 0);
     const auto payload = transport::encode(*update);
-    for (const auto& [name, it] : contacts_) {
+    for (const auto& [name, it] : instances_) {
         if (auto* const link = shared_.link_to(name)) {
             link->notify({transport::frame_type::table_update, 0, payload});
         }
@@ -374,7 +375,7 @@
     consensus::replacement_options options;
     options.voters = std::min<std::size_t>(3, std::max<std::uint32_t>(shared_.settings.data_center_size, 1));
     std::vector<consensus::member_id> spares;
-    for (const auto& [name, it] : contacts_) {
+    for (const auto& [name, it] : instances_) {
         if (!it.stopping && now - it.last_request < instance_lost_after) {
             spares.push_back({name, it.info.incarnation});
         }
--- a/src/app/instance/data_center_tier.cpp
+++ b/src/app/instance/data_center_tier.cpp
@@ -19,12 +19,12 @@
 } // namespace
 
 assignment_machine::assignment_machine(const std::string& data_center, std::uint64_t generation,
-                                       const std::string& mirrored) {
-    if (mirrored.empty()) {
+                                       const std::string& mirrored_table) {
+    if (mirrored_table.empty()) {
         state_ = std::make_unique<ownership::assignment_state>(data_center, generation);
         return;
     }
-    auto rows = ownership::decode_table(mirrored);
+    auto rows = ownership::decode_table(mirrored_table);
     rows.generation = generation;
     rows.version = 0; // versions are indexes of the group's log, and the log of a new generation is empty
     state_ = std::make_unique<ownership::assignment_state>(std::move(rows));
@@ -121,7 +121,7 @@
         if (const auto known = group_->node().leader()) {
             leader_ = known->name;
         }
-        lead(now);
+        run_leader_duties(now);
     }
     if (generation_ > 0 && now >= next_lease_request_) {
         next_lease_request_ = now + shared_.settings.grant_interval;
@@ -129,7 +129,7 @@
     }
 }
 
-std::string data_center_tier::lease_target() {
+std::string data_center_tier::pick_lease_target() {
     if (leads()) {
         return shared_.settings.name;
     }
@@ -174,7 +174,7 @@
         load.requests_per_second = it.requests_per_second;
         request.hot_keys.push_back(load);
     }
-    const auto target = lease_target();
+    const auto target = pick_lease_target();
     if (target == shared_.settings.name) {
         on_lease_reply(target, on_lease_request(request, now), now);
         return;
--- a/src/app/instance/data_center_tier.h
+++ b/src/app/instance/data_center_tier.h
@@ -26,7 +26,8 @@
 /// State machine of a data centre group.
 class assignment_machine final : public state_machine {
 public:
-    assignment_machine(const std::string& data_center, std::uint64_t generation, const std::string& mirrored);
+    assignment_machine(const std::string& data_center, std::uint64_t generation,
+                       const std::string& mirrored_table);
     std::string apply(const std::string& command, std::uint64_t index) override;
     std::string save() const override;
     void restore(const std::string& saved) override;
@@ -37,7 +38,7 @@
 };
 
 /// What the leader of a data centre group knows of one instance or upstream; not replicated.
-struct instance_contact {
+struct tracked_instance {
     instance_info info;
     time_point last_request;
     time_point lease_until; ///< by this clock; the instance's own lease ends before
@@ -49,7 +50,7 @@
     std::vector<ownership::key_load> hot_keys;
     std::set<std::uint32_t> installed_ledger_groups;
 };
-struct upstream_contact {
+struct tracked_upstream {
     std::string reporting_gate;
     std::int8_t health = 0;
     std::uint64_t incarnation = 0;
@@ -81,7 +82,7 @@
     /// Registers or refreshes an upstream. @p done gets false when this instance does not lead and knows no
     /// leader.
     void on_announce(const wire::Announce& announced, std::function<void(bool)> done);
-    std::uint32_t shards_of(const std::string& service) const;
+    std::uint32_t shard_count_of(const std::string& service) const;
     void begin_shutdown() { stopping_ = true; }
 
     bool leads() const { return group_ && group_->leads(); }
@@ -91,29 +92,29 @@
     std::uint64_t generation() const noexcept { return generation_; }
     const replicated_group* group() const noexcept { return group_.get(); }
     std::shared_ptr<const ownership::table> published() const { return published_; }
-    const std::map<std::string, instance_contact>& contacts() const noexcept { return contacts_; }
+    const std::map<std::string, tracked_instance>& instances() const noexcept { return instances_; }
 
 private:
     void join(const wire::GroupFormation& formation);
     void request_lease(time_point now);
     void on_lease_reply(const std::string& from, const wire::GateLeaseReply& reply, time_point sent);
-    std::string lease_target();
+    std::string pick_lease_target();
     /// Empty when none is known.
     std::string known_leader() const;
 
-    void lead(time_point now);
+    void run_leader_duties(time_point now);
     void become_leader(time_point now);
-    bool supported(time_point now) const;
-    void note_reports(const wire::GateLeaseRequest& request, time_point now);
-    ownership::cluster_view view_of(const ownership::table& rows, time_point now) const;
-    time_point grant_bound(const ownership::upstream_row& row) const;
+    bool majority_requested_lease(time_point now) const;
+    void record_reports(const wire::GateLeaseRequest& request, time_point now);
+    ownership::cluster_view make_cluster_view(const ownership::table& rows, time_point now) const;
+    time_point latest_grant_end(const ownership::upstream_row& row) const;
     void plan(time_point now);
-    void plan_conditions(const ownership::table& rows, time_point now);
+    void propose_lost_upstreams(const ownership::table& rows, time_point now);
     void plan_homes(const ownership::table& rows);
     void plan_ledger_groups(const ownership::table& rows, time_point now);
-    std::optional<ownership::ledger_group> repaired(const ownership::ledger_group& group,
-                                                    const std::set<std::string>& live, std::uint32_t number,
-                                                    time_point now) const;
+    std::optional<ownership::ledger_group> repair_ledger_group(const ownership::ledger_group& group,
+                                                               const std::set<std::string>& live,
+                                                               std::uint32_t number, time_point now) const;
     std::set<std::string> live_replicas(time_point now) const;
     void propose(const ownership::command& change);
     void mirror_and_publish(time_point now);
@@ -139,19 +140,19 @@
     time_point first_granted_; ///< in this generation, from any leader
     time_point next_lease_request_;
     time_point next_plan_;
-    time_point led_since_;
+    time_point leader_since_;
     time_point next_mirror_;
     time_point mirror_since_;
     std::int64_t lease_sequence_ = 0;
     std::shared_ptr<const ownership::table> published_;
     gate_report report_;
-    std::map<std::string, instance_contact> contacts_;
-    std::map<std::string, upstream_contact> upstreams_;
+    std::map<std::string, tracked_instance> instances_;
+    std::map<std::string, tracked_upstream> upstreams_;
     std::map<std::string, wire::ServiceHomes> proposed_homes_;
-    std::size_t outstanding_ = 0; ///< proposals whose result is not known yet
+    std::size_t pending_proposals_ = 0; ///< proposals whose result is not known yet
     std::uint64_t mirror_serial_ = 0;
-    std::uint64_t mirroring_ = 0;          ///< serial number of the mirror in progress; 0 when none
-    ownership::epoch_number mirrored_ = 0; ///< version that the global group is known to hold
+    std::uint64_t active_mirror_ = 0;              ///< serial number of the mirror in progress; 0 when none
+    ownership::epoch_number mirrored_version_ = 0; ///< version that the global group is known to hold
     bool was_leader_ = false;
     bool stopping_ = false;
 };
--- a/src/app/instance/global_leader.cpp
+++ b/src/app/instance/global_leader.cpp
@@ -63,7 +63,7 @@
 
 } // namespace
 
-void global_tier::lead(time_point now) {
+void global_tier::run_leader_duties(time_point now) {
     std::erase_if(ungrouped_, [now](const auto& it) { return now - it.second.last > report_lifetime; });
     if (!formation_in_progress_) {
         form_groups(now);
--- a/src/app/instance/global_tier.cpp
+++ b/src/app/instance/global_tier.cpp
@@ -55,7 +55,7 @@
         publish();
         if (leads() && now >= next_lead_) {
             next_lead_ = now + lead_interval;
-            lead(now);
+            run_leader_duties(now);
         }
     }
     ready_ = ready_ || leads() || (now - started_ > authoritative_wait && known_.version > 0);
--- a/src/app/instance/global_tier.h
+++ b/src/app/instance/global_tier.h
@@ -52,7 +52,7 @@
     void open_group(const std::optional<consensus::membership>& initial);
     void form_when_all_empty();
     void ask_initial_voters();
-    void lead(time_point now);
+    void run_leader_duties(time_point now);
     void form_groups(time_point now);
     std::optional<wire::GroupFormation> formation_for(const std::string& data_center, time_point now) const;
     void plan_homes(time_point now);
--- a/src/app/instance/ledger_leader.cpp
+++ b/src/app/instance/ledger_leader.cpp
@@ -25,7 +25,7 @@
 
 std::set<std::string> data_center_tier::live_replicas(time_point now) const {
     std::set<std::string> result;
-    for (const auto& [name, it] : contacts_) {
+    for (const auto& [name, it] : instances_) {
         if (now - it.last_request < replica_lost_after) {
             result.insert(replica_name({name, it.info.incarnation}));
         }
@@ -35,21 +35,20 @@
 
 void data_center_tier::plan_ledger_groups(const ownership::table& rows, time_point now) {
     // A new leader does not know yet which replicas are alive.
-    if (now - led_since_ < replica_lost_after) {
+    if (now - leader_since_ < replica_lost_after) {
         return;
     }
     const auto live = live_replicas(now);
     for (std::uint32_t n = 0; n < rows.ledger_groups.size(); ++n) {
-        if (auto next = repaired(rows.ledger_groups[n], live, n, now)) {
+        if (auto next = repair_ledger_group(rows.ledger_groups[n], live, n, now)) {
             propose(ownership::set_ledger_group{n, std::move(*next)});
         }
     }
 }
 
-std::optional<ownership::ledger_group> data_center_tier::repaired(const ownership::ledger_group& group,
-                                                                  const std::set<std::string>& live,
-                                                                  std::uint32_t number,
-                                                                  time_point /*now*/) const {
+std::optional<ownership::ledger_group>
+data_center_tier::repair_ledger_group(const ownership::ledger_group& group, const std::set<std::string>& live,
+                                      std::uint32_t number, time_point /*now*/) const {
     const auto is_live = [&live](const std::string& it) { return live.count(it) != 0; };
     ownership::ledger_group next;
     std::copy_if(group.replicas.begin(), group.replicas.end(), std::back_inserter(next.replicas), is_live);
@@ -73,9 +72,9 @@
         return next; // the lost replica is back, so nobody needs to join
     }
     for (const auto& it : group.joining) {
-        const auto contact = contacts_.find(instance_of(it).name);
-        const bool installed = is_live(it) && contact != contacts_.end() &&
-                               contact->second.installed_ledger_groups.count(number) != 0;
+        const auto tracked = instances_.find(instance_of(it).name);
+        const bool installed = is_live(it) && tracked != instances_.end() &&
+                               tracked->second.installed_ledger_groups.count(number) != 0;
         if (installed && next.replicas.size() < ledger_replicas) {
             next.replicas.push_back(it);
         }
