--- a/src/app/instance/entry.cpp
+++ b/src/app/instance/entry.cpp
@@ -88,13 +88,13 @@
         refuse(refusal::invalid_request);
         return;
     }
-    ++in_progress_;
-    route(make_call(request, *matched, std::move(reply)));
+    ++in_flight_;
+    route(make_request(request, *matched, std::move(reply)));
 }
 
-entry::call_ptr entry::make_call(const http_request& request, const profile::match& matched,
-                                 http_reply reply) const {
-    auto it = std::make_shared<call>();
+entry::request_ptr entry::make_request(const http_request& request, const profile::match& matched,
+                                       http_reply reply) const {
+    auto it = std::make_shared<in_flight_request>();
     it->reply = std::move(reply);
     it->arrived = steady_now();
     it->deadline = it->arrived + matched.matched->deadline;
@@ -113,7 +113,7 @@
     return it;
 }
 
-void entry::route(const call_ptr& it) {
+void entry::route(const request_ptr& it) {
     const time_point now = steady_now();
     if (now >= it->deadline) {
         const auto reason = it->attempts == 0 ? it->last_refusal : refusal::deadline;
@@ -125,7 +125,7 @@
         view->route(it->request.service_name, static_cast<std::uint32_t>(it->request.shard), it->request.key);
     if (owner == nullptr || owner->gate.empty()) {
         it->last_refusal = refusal::no_owner;
-        route_later(it);
+        schedule_reroute(it);
         return;
     }
     it->request.upstream = owner->name;
@@ -141,7 +141,7 @@
     forward(it, use_standby ? owner->standby : owner->gate);
 }
 
-void entry::forward(const call_ptr& it, const std::string& instance) {
+void entry::forward(const request_ptr& it, const std::string& instance) {
     ++it->attempts;
     if (instance == settings_.name) {
         gate_(it->request, [this, it](const wire::ForwardResponse& response) { on_response(it, response); });
@@ -151,7 +151,7 @@
     const auto known = view->instances.find(instance);
     if (known == view->instances.end()) {
         it->last_refusal = refusal::gate_unreachable;
-        route_later(it);
+        schedule_reroute(it);
         return;
     }
     mesh_.link_to(instance, traffic_address(known->second.address))
@@ -160,19 +160,19 @@
                  [this, it](const transport::reply& received) { on_reply(it, received); });
 }
 
-void entry::on_reply(const call_ptr& it, const transport::reply& received) {
+void entry::on_reply(const request_ptr& it, const transport::reply& received) {
     if (received.answer) {
         on_response(it, transport::decode<wire::ForwardResponse>(received.answer->payload));
         return;
     }
     // The ledger makes it safe to forward at-most-once work again: a gate that finds the key begun answers
     // `unknown`.
-    it->maybe_run = it->maybe_run || received.failure != transport::link_failure::not_sent;
-    it->last_refusal = it->maybe_run ? refusal::gate_lost : refusal::gate_unreachable;
-    route_later(it);
+    it->may_have_run = it->may_have_run || received.failure != transport::link_failure::not_sent;
+    it->last_refusal = it->may_have_run ? refusal::gate_lost : refusal::gate_unreachable;
+    schedule_reroute(it);
 }
 
-bool entry::worth_another_attempt(const call& it, const wire::ForwardResponse& response) const {
+bool entry::should_retry(const in_flight_request& it, const wire::ForwardResponse& response) const {
     const auto result = static_cast<outcome>(response.outcome);
     const auto reason = static_cast<refusal>(response.reason);
     if (result == outcome::ran || steady_now() >= it.deadline) {
@@ -187,22 +187,22 @@
     return reason == refusal::shutting_down || reason == refusal::upstream_failed;
 }
 
-void entry::on_response(const call_ptr& it, const wire::ForwardResponse& response) {
-    if (worth_another_attempt(*it, response)) {
+void entry::on_response(const request_ptr& it, const wire::ForwardResponse& response) {
+    if (should_retry(*it, response)) {
         // A gate that lost its route did not and will not run at-most-once work; it only cannot tell whether
         // another gate did, and the next gate reads that in the ledger.
         const bool passed_on =
             it->request.at_most_once && static_cast<refusal>(response.reason) == refusal::stale_route;
-        it->maybe_run =
-            it->maybe_run || (!passed_on && static_cast<outcome>(response.outcome) == outcome::unknown);
+        it->may_have_run =
+            it->may_have_run || (!passed_on && static_cast<outcome>(response.outcome) == outcome::unknown);
         it->last_refusal = static_cast<refusal>(response.reason);
-        route_later(it);
+        schedule_reroute(it);
         return;
     }
     finish(it, response);
 }
 
-void entry::route_later(const call_ptr& it) {
+void entry::schedule_reroute(const request_ptr& it) {
     auto timer = std::make_shared<asio::steady_timer>(context_, reroute_delay);
     timer->async_wait([this, it, timer](const asio::error_code& ec) {
         if (!ec) {
@@ -211,19 +211,19 @@
     });
 }
 
-void entry::finish(const call_ptr& it, const wire::ForwardResponse& response) {
+void entry::finish(const request_ptr& it, const wire::ForwardResponse& response) {
     wire::ForwardResponse answer = response;
-    if (it->maybe_run && static_cast<outcome>(answer.outcome) == outcome::not_run) {
+    if (it->may_have_run && static_cast<outcome>(answer.outcome) == outcome::not_run) {
         // A lost attempt may have run, so `not-run` cannot be claimed any more.
         answer.outcome = static_cast<std::int8_t>(outcome::unknown);
     }
-    count(*it, answer);
-    --in_progress_;
+    count_response(*it, answer);
+    --in_flight_;
     it->reply(static_cast<outcome>(answer.outcome) == outcome::ran ? ran_answer(answer)
                                                                    : refusal_answer(answer));
 }
 
-void entry::count(const call& it, const wire::ForwardResponse& response) {
+void entry::count_response(const in_flight_request& it, const wire::ForwardResponse& response) {
     const metrics::labels tags{{"service", it.request.service_name},
                                {"rank", std::string(to_string(it.priority))}};
     auto with_outcome = tags;
--- a/src/app/instance/entry.h
+++ b/src/app/instance/entry.h
@@ -28,32 +28,33 @@
     void on_view_changed();
     /// Refuses new requests; those in progress go on.
     void begin_shutdown();
-    std::size_t in_progress() const noexcept { return in_progress_; }
+    std::size_t in_flight() const noexcept { return in_flight_; }
     void stop();
 
 private:
-    struct call {
+    struct in_flight_request {
         wire::ForwardRequest request;
         http_reply reply;
         rank priority = rank::urgent;
         time_point arrived;
         time_point deadline;
-        bool maybe_run = false; ///< an attempt was lost after it may have reached its gate
+        bool may_have_run = false; ///< an attempt was lost after it may have reached its gate
         refusal last_refusal = refusal::no_owner;
         std::uint32_t attempts = 0;
     };
-    using call_ptr = std::shared_ptr<call>;
+    using request_ptr = std::shared_ptr<in_flight_request>;
 
     void handle(const http_request& request, http_reply reply);
-    call_ptr make_call(const http_request& request, const profile::match& matched, http_reply reply) const;
-    void route(const call_ptr& it);
-    void forward(const call_ptr& it, const std::string& instance);
-    void on_reply(const call_ptr& it, const transport::reply& received);
-    void on_response(const call_ptr& it, const wire::ForwardResponse& response);
-    bool worth_another_attempt(const call& it, const wire::ForwardResponse& response) const;
-    void route_later(const call_ptr& it);
-    void finish(const call_ptr& it, const wire::ForwardResponse& response);
-    void count(const call& it, const wire::ForwardResponse& response);
+    request_ptr make_request(const http_request& request, const profile::match& matched,
+                             http_reply reply) const;
+    void route(const request_ptr& it);
+    void forward(const request_ptr& it, const std::string& instance);
+    void on_reply(const request_ptr& it, const transport::reply& received);
+    void on_response(const request_ptr& it, const wire::ForwardResponse& response);
+    bool should_retry(const in_flight_request& it, const wire::ForwardResponse& response) const;
+    void schedule_reroute(const request_ptr& it);
+    void finish(const request_ptr& it, const wire::ForwardResponse& response);
+    void count_response(const in_flight_request& it, const wire::ForwardResponse& response);
 
     asio::io_context& context_;
     const settings::instance_settings& settings_;
@@ -62,7 +63,7 @@
     local_gate gate_;
     peer_mesh mesh_;
     std::unique_ptr<http_server> server_;
-    std::size_t in_progress_ = 0;
+    std::size_t in_flight_ = 0;
     std::uint64_t next_request_ = 1;
     bool stopping_ = false;
 };
--- a/src/app/instance/instance.cpp
+++ b/src/app/instance/instance.cpp
@@ -43,7 +43,7 @@
     asio::signal_set signals_{control_worker_.io, SIGTERM, SIGINT};
     asio::steady_timer shutdown_timer_{control_worker_.io};
     time_point shutdown_deadline_;
-    std::atomic<std::size_t> entry_in_progress_{0};
+    std::atomic<std::size_t> entry_in_flight_{0};
     std::atomic<bool> gate_idle_{false};
 };
 
@@ -102,13 +102,13 @@
 
 void instance::poll_shutdown() {
     constexpr duration poll_interval = std::chrono::milliseconds(20);
-    asio::post(entry_worker_.io, [this] { entry_in_progress_ = entry_->in_progress(); });
+    asio::post(entry_worker_.io, [this] { entry_in_flight_ = entry_->in_flight(); });
     asio::post(gate_worker_.io, [this] { gate_idle_ = gate_->idle(); });
     if (control_->unready_period_elapsed()) {
         asio::post(entry_worker_.io, [this] { entry_->begin_shutdown(); });
     }
-    const bool done = control_->handed_over() && control_->unready_period_elapsed() &&
-                      entry_in_progress_ == 0 && gate_idle_;
+    const bool done =
+        control_->handed_over() && control_->unready_period_elapsed() && entry_in_flight_ == 0 && gate_idle_;
     if (done || steady_now() > shutdown_deadline_) {
         finish_shutdown();
         return;
