--- a/src/app/instance/gate.cpp
+++ b/src/app/instance/gate.cpp
@@ -34,11 +34,11 @@
                                                                    settings,
                                                                    views,
                                                                    ledger_,
-                                                                   suspects_,
+                                                                   poison_requests_,
                                                                    registry,
                                                                    [this] { return lease_end(); },
                                                                    [this](const auto& changed) {
-                                                                       share(changed);
+                                                                       broadcast_poison_requests(changed);
                                                                    }},
       timer_(context) {
     server_ = std::make_unique<transport::peer_server>(
@@ -154,10 +154,10 @@
     if (it != upstreams_.end()) {
         return it->second.get();
     }
-    return settings_.routing == settings::routing_mode::direct ? direct_gate(upstream) : nullptr;
+    return settings_.routing == settings::routing_mode::direct ? add_direct_gate(upstream) : nullptr;
 }
 
-upstream_gate* gate::direct_gate(const std::string& upstream) {
+upstream_gate* gate::add_direct_gate(const std::string& upstream) {
     const auto view = views_.load();
     for (const auto& [data_center, rows] : view->tables) {
         if (const auto* row = rows->find(upstream)) {
@@ -206,9 +206,9 @@
     case frame_type::suspect_update: {
         const auto update = transport::decode<wire::SuspectUpdate>(received.payload);
         const time_point now = steady_now();
-        suspects_.merge({update.request_digest, static_cast<std::uint32_t>(update.crashes), update.survived,
-                         now + std::chrono::milliseconds(update.remaining_ms)},
-                        now);
+        poison_requests_.merge({update.request_digest, static_cast<std::uint32_t>(update.crashes),
+                                update.survived, now + std::chrono::milliseconds(update.remaining_ms)},
+                               now);
         break;
     }
     default:
@@ -228,7 +228,7 @@
     });
 }
 
-void gate::share(const std::vector<admission::poison_request_list::record>& changed) {
+void gate::broadcast_poison_requests(const std::vector<admission::poison_request_list::record>& changed) {
     const auto view = views_.load();
     const time_point now = steady_now();
     for (const auto& it : changed) {
--- a/src/app/instance/gate.h
+++ b/src/app/instance/gate.h
@@ -38,9 +38,9 @@
     /// Keeps the rows of upstreams that this instance dispatches to without being their gate.
     void refresh_direct_gates(const routing_view& view);
     void dial_ledger_replicas(const routing_view& view);
-    void share(const std::vector<admission::poison_request_list::record>& changed);
+    void broadcast_poison_requests(const std::vector<admission::poison_request_list::record>& changed);
     upstream_gate* find(const std::string& upstream);
-    upstream_gate* direct_gate(const std::string& upstream);
+    upstream_gate* add_direct_gate(const std::string& upstream);
     time_point lease_end() const noexcept { return time_point(duration(lease_end_.load())); }
 
     asio::io_context& context_;
@@ -49,7 +49,7 @@
     metrics::registry& registry_;
     peer_mesh mesh_;
     ledger_host ledger_;
-    admission::poison_request_list suspects_;
+    admission::poison_request_list poison_requests_;
     hot_keys::tracker hot_keys_{{}};
     gate_context shared_;
     std::map<std::string, std::unique_ptr<upstream_gate>> upstreams_;
--- a/src/app/instance/upstream_dispatch.cpp
+++ b/src/app/instance/upstream_dispatch.cpp
@@ -227,8 +227,8 @@
     health_.on_answer(service_time, now);
     release(request, service_time);
     if (request->exclusive) {
-        if (const auto cleared = shared_.suspects.on_survived(request->digest, now)) {
-            shared_.share_suspects({*cleared});
+        if (const auto cleared = shared_.poison_requests.on_survived(request->digest, now)) {
+            shared_.broadcast_poison_requests({*cleared});
         }
     }
     const auto content_type = header_of(answer, "content-type");
@@ -329,7 +329,7 @@
             finish(request, not_run(refusal::stale_route));
             return;
         }
-        request->exclusive = shared_.suspects.status_of(request->digest, steady_now()) !=
+        request->exclusive = shared_.poison_requests.status_of(request->digest, steady_now()) !=
                              admission::poison_request_list::status::clear;
         admit(request);
         pump();
--- a/src/app/instance/upstream_faults.cpp
+++ b/src/app/instance/upstream_faults.cpp
@@ -162,7 +162,7 @@
     }
     recently_broken_.clear();
     spdlog::warn("upstream died upstream={} requests_in_flight={}", row_.name, digests.size());
-    shared_.share_suspects(shared_.suspects.on_crash(digests, now));
+    shared_.broadcast_poison_requests(shared_.poison_requests.on_crash(digests, now));
 }
 
 } // namespace kingcupseam::app
--- a/src/app/instance/upstream_gate.cpp
+++ b/src/app/instance/upstream_gate.cpp
@@ -89,7 +89,7 @@
         finish(request, not_run(refusal::stale_route));
         return;
     }
-    const auto standing = shared_.suspects.status_of(request->digest, request->arrived);
+    const auto standing = shared_.poison_requests.status_of(request->digest, request->arrived);
     if (standing == admission::poison_request_list::status::refused) {
         refuse(request, refusal::crashes_upstreams);
         return;
--- a/src/app/instance/upstream_gate.h
+++ b/src/app/instance/upstream_gate.h
@@ -23,10 +23,10 @@
     const settings::instance_settings& settings;
     const view_holder& views;
     ledger_host& ledger;
-    admission::poison_request_list& suspects;
+    admission::poison_request_list& poison_requests;
     metrics::registry& registry;
     std::function<time_point()> lease_end; ///< end of this instance's gate lease
-    std::function<void(const std::vector<admission::poison_request_list::record>&)> share_suspects;
+    std::function<void(const std::vector<admission::poison_request_list::record>&)> broadcast_poison_requests;
 };
 
 /// Condition of an upstream as its gate reports it to the leader.
