--- a/src/app/instance/entry.cpp
+++ b/src/app/instance/entry.cpp
@@ -81,7 +81,7 @@
         return;
     }
     if (at_most_once && !valid_idempotency_key(key)) {
-        reply(refusal_answer(not_run(refusal::invalid_request))); // no instance accepts such a key
+        reply(refusal_answer(not_run_response(refusal::invalid_request))); // no instance accepts such a key
         return;
     }
     if (request.body.size() > matched->matched->max_body_bytes) {
@@ -117,7 +117,7 @@
     const time_point now = steady_now();
     if (now >= it->deadline) {
         const auto reason = it->attempts == 0 ? it->last_refusal : refusal::deadline;
-        finish(it, it->request.at_most_once ? unknown_outcome(reason) : not_run(reason));
+        finish(it, it->request.at_most_once ? unknown_response(reason) : not_run_response(reason));
         return;
     }
     const auto view = views_.load();
--- a/src/app/instance/gate_request.h
+++ b/src/app/instance/gate_request.h
@@ -51,11 +51,11 @@
     return response;
 }
 
-inline wire::ForwardResponse not_run(refusal reason, duration retry_after = duration{0}) {
+inline wire::ForwardResponse not_run_response(refusal reason, duration retry_after = duration{0}) {
     return refusal_response(outcome::not_run, reason, retry_after);
 }
 
-inline wire::ForwardResponse unknown_outcome(refusal reason) {
+inline wire::ForwardResponse unknown_response(refusal reason) {
     return refusal_response(outcome::unknown, reason);
 }
 
--- a/src/app/instance/operator_api.cpp
+++ b/src/app/instance/operator_api.cpp
@@ -21,7 +21,7 @@
     return {status, {{"Content-Type", "application/json"}}, body.dump(2) + "\n"};
 }
 
-http_response problem(int status, const std::string& text) {
+http_response problem_response(int status, const std::string& text) {
     return json_response(status, {{"problem", text}});
 }
 
@@ -44,7 +44,7 @@
 }
 
 /// Compares without an early exit, so that the time taken does not show how much of a token is right.
-bool equal_secret(std::string_view a, std::string_view b) {
+bool equal_in_constant_time(std::string_view a, std::string_view b) {
     unsigned difference = a.size() == b.size() ? 0 : 1;
     for (std::size_t n = 0; n < std::min(a.size(), b.size()); ++n) {
         difference |= static_cast<unsigned char>(a[n]) ^ static_cast<unsigned char>(b[n]);
@@ -153,7 +153,8 @@
 }
 
 bool operator_api::authorized(const http_request& request) const {
-    return equal_secret(request.header("Authorization"), "Bearer " + shared_.settings.operator_token);
+    return equal_in_constant_time(request.header("Authorization"),
+                                  "Bearer " + shared_.settings.operator_token);
 }
 
 bool operator_api::ready() const {
@@ -167,7 +168,7 @@
     } else if (path == "/ready") {
         reply({ready() ? 200 : 503, {{"Content-Type", "text/plain"}}, ready() ? "ready\n" : "not ready\n"});
     } else if (!authorized(request)) {
-        reply(problem(401, "Authorization: Bearer TOKEN is missing or wrong"));
+        reply(problem_response(401, "Authorization: Bearer TOKEN is missing or wrong"));
     } else if (path == "/metrics") {
         reply({200, {{"Content-Type", "text/plain; version=0.0.4"}}, shared_.registry.prometheus_text()});
     } else if (path == "/v1/status") {
@@ -182,7 +183,7 @@
             reply(show_profile(name));
         }
     } else {
-        reply(problem(404, "no such path"));
+        reply(problem_response(404, "no such path"));
     }
 }
 
@@ -202,7 +203,7 @@
     global_.propose(encode_profile_change(change), [reply](const std::optional<std::string>& result) {
         if (!result) {
             // The change may still be committed: the operator resends it with the same change id.
-            auto response = problem(
+            auto response = problem_response(
                 503, "the global group did not confirm the change; resend it with the same change_id");
             response.headers.emplace_back("Retry-After", "1");
             reply(std::move(response));
@@ -240,7 +241,7 @@
             return json_response(200, profile_json(*found, true));
         }
     }
-    return problem(404, "no profile of this name has been accepted");
+    return problem_response(404, "no profile of this name has been accepted");
 }
 
 http_response operator_api::status() const {
--- a/src/app/instance/refusal_answer.cpp
+++ b/src/app/instance/refusal_answer.cpp
@@ -6,7 +6,7 @@
 
 namespace kingcupseam::app {
 
-int status_of(refusal reason) {
+int http_status_of(refusal reason) {
     switch (reason) {
     case refusal::invalid_request:
         return 400;
@@ -45,7 +45,7 @@
     const auto reason = static_cast<refusal>(response.reason);
     const std::string result(to_string(static_cast<outcome>(response.outcome)));
     http_response answer;
-    answer.status = status_of(reason);
+    answer.status = http_status_of(reason);
     answer.headers = {{"Content-Type", "application/json"},
                       {"Kingcupseam-Outcome", result},
                       {"Kingcupseam-Reason", std::string(to_string(reason))}};
--- a/src/app/instance/refusal_answer.h
+++ b/src/app/instance/refusal_answer.h
@@ -9,7 +9,7 @@
 namespace kingcupseam::app {
 
 /// HTTP status of a request that was refused or whose outcome is unknown; docs/protocol.md lists them.
-int status_of(refusal reason);
+int http_status_of(refusal reason);
 http_response refusal_answer(const wire::ForwardResponse& response);
 /// The upstream's answer, marked as run.
 http_response ran_answer(const wire::ForwardResponse& response);
--- a/src/app/instance/upstream_dispatch.cpp
+++ b/src/app/instance/upstream_dispatch.cpp
@@ -26,7 +26,7 @@
     return {};
 }
 
-wire::ForwardResponse ran(int status, std::string content_type, std::string body) {
+wire::ForwardResponse ran_response(int status, std::string content_type, std::string body) {
     wire::ForwardResponse response;
     response.outcome = static_cast<std::int8_t>(outcome::ran);
     response.status = status;
@@ -39,12 +39,12 @@
 }
 
 /// A recorded answer is the content type, a line feed and the body.
-wire::ForwardResponse recorded_answer(const ledger::record& record) {
+wire::ForwardResponse recorded_response(const ledger::record& record) {
     const auto line = record.answer.find('\n');
     if (line == std::string::npos) {
-        return unknown_outcome(refusal::in_doubt);
+        return unknown_response(refusal::in_doubt);
     }
-    return ran(record.status, record.answer.substr(0, line), record.answer.substr(line + 1));
+    return ran_response(record.status, record.answer.substr(0, line), record.answer.substr(line + 1));
 }
 
 std::uint64_t next_attempt_number() {
@@ -68,7 +68,7 @@
 void upstream_gate::start(const gate_request_ptr& request) {
     if (!still_owner(*request)) {
         release(request, std::nullopt);
-        finish(request, not_run(refusal::stale_route));
+        finish(request, not_run_response(refusal::stale_route));
         return;
     }
     if (!uses_ledger(*request)) {
@@ -99,25 +99,25 @@
         return; // the decision comes again with the answer
     case ledger::verdict::answer:
         release(request, std::nullopt);
-        finish(request, recorded_answer(*decision.known));
+        finish(request, recorded_response(*decision.known));
         break;
     case ledger::verdict::in_doubt:
         release(request, std::nullopt);
         // Without a record no majority let this gate read the window, so the key may have run before.
-        finish(request, unknown_outcome(decision.known ? refusal::in_doubt : refusal::ledger_unavailable));
+        finish(request, unknown_response(decision.known ? refusal::in_doubt : refusal::ledger_unavailable));
         break;
     case ledger::verdict::conflict:
         release(request, std::nullopt);
-        finish(request, not_run(refusal::invalid_request));
+        finish(request, not_run_response(refusal::invalid_request));
         break;
     case ledger::verdict::unavailable:
         release(request, std::nullopt);
-        finish(request, not_run(refusal::ledger_unavailable, std::chrono::seconds(1)));
+        finish(request, not_run_response(refusal::ledger_unavailable, std::chrono::seconds(1)));
         break;
     case ledger::verdict::stale:
         // This gate will not run it, but the next gate may have.
         release(request, std::nullopt);
-        finish(request, unknown_outcome(refusal::stale_route));
+        finish(request, unknown_response(refusal::stale_route));
         break;
     }
     pump();
@@ -127,21 +127,21 @@
                                const wire::ForwardResponse& refused) {
     switch (found.result) {
     case ledger::verdict::answer:
-        finish(request, recorded_answer(*found.known));
+        finish(request, recorded_response(*found.known));
         break;
     case ledger::verdict::unavailable:
         finish(request, refused);
         break;
     case ledger::verdict::conflict:
-        finish(request, not_run(refusal::invalid_request));
+        finish(request, not_run_response(refusal::invalid_request));
         break;
     case ledger::verdict::stale:
-        finish(request, unknown_outcome(refusal::stale_route));
+        finish(request, unknown_response(refusal::stale_route));
         break;
     case ledger::verdict::in_doubt:
     case ledger::verdict::dispatch:
     case ledger::verdict::wait:
-        finish(request, unknown_outcome(found.known ? refusal::in_doubt : refusal::ledger_unavailable));
+        finish(request, unknown_response(found.known ? refusal::in_doubt : refusal::ledger_unavailable));
         break;
     }
 }
@@ -240,7 +240,7 @@
         }
         shared_.ledger.finish(record);
     }
-    finish(request, ran(answer.status, content_type, answer.body));
+    finish(request, ran_response(answer.status, content_type, answer.body));
 }
 
 void upstream_gate::on_failure(const gate_request_ptr& request, http_failure failure) {
@@ -292,7 +292,7 @@
     if (retry_wanted && retry(request)) {
         return;
     }
-    finish(request, not_run(reason));
+    finish(request, not_run_response(reason));
 }
 
 void upstream_gate::on_may_have_run(const gate_request_ptr& request, refusal reason) {
@@ -302,12 +302,12 @@
                                    static_cast<std::uint32_t>(request->wire.shard),
                                    request->wire.idempotency_key);
         }
-        finish(request, unknown_outcome(reason));
+        finish(request, unknown_response(reason));
         return;
     }
     request->may_have_run = true;
     if (!retry(request)) {
-        finish(request, unknown_outcome(reason));
+        finish(request, unknown_response(reason));
     }
 }
 
@@ -326,7 +326,7 @@
             return;
         }
         if (handed_over_) {
-            finish(request, not_run(refusal::stale_route));
+            finish(request, not_run_response(refusal::stale_route));
             return;
         }
         request->exclusive = shared_.poison_requests.status_of(request->digest, steady_now()) !=
--- a/src/app/instance/upstream_gate.cpp
+++ b/src/app/instance/upstream_gate.cpp
@@ -86,7 +86,7 @@
 
 void upstream_gate::submit(const gate_request_ptr& request) {
     if (handed_over_ || !still_owner(*request)) {
-        finish(request, not_run(refusal::stale_route));
+        finish(request, not_run_response(refusal::stale_route));
         return;
     }
     const auto standing = shared_.poison_requests.status_of(request->digest, request->arrived);
@@ -190,7 +190,7 @@
     queue_->drain();
     const auto refused = std::exchange(waiting_, {});
     for (const auto& [ticket, request] : refused) {
-        finish(request, not_run(refusal::stale_route));
+        finish(request, not_run_response(refusal::stale_route));
     }
 }
 
@@ -207,7 +207,7 @@
 }
 
 void upstream_gate::refuse(const gate_request_ptr& request, refusal reason, duration retry_after) {
-    const auto refused = not_run(reason, retry_after);
+    const auto refused = not_run_response(reason, retry_after);
     if (!uses_ledger(*request)) {
         finish(request, refused);
         return;
