--- a/src/app/instance/global_leader.cpp
+++ b/src/app/instance/global_leader.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t data_center_voters = 3;
 constexpr duration report_lifetime = std::chrono::seconds(1);
 // Instances are asked for disks only while a voter is missing.
-constexpr duration disk_poll_interval = std::chrono::milliseconds(300);
+constexpr duration durable_poll_interval = std::chrono::milliseconds(300);
 // Longer than a gate lease (600 ms) with its drift margin: every lease of the former generation has ended.
 constexpr duration reformation_wait = std::chrono::milliseconds(1200);
 // Gives all data centres time to register their upstreams before shards are spread over them.
@@ -65,14 +65,14 @@
 
 void global_tier::run_leader_duties(time_point now) {
     std::erase_if(ungrouped_, [now](const auto& it) { return now - it.second.last > report_lifetime; });
-    if (!formation_in_progress_) {
+    if (!proposal_in_progress_) {
         form_groups(now);
         plan_homes(now);
     }
     replace_voters(now);
 }
 
-void global_tier::note_ungrouped(const wire::StateRequest& request, time_point now) {
+void global_tier::record_ungrouped(const wire::StateRequest& request, time_point now) {
     auto& report = ungrouped_[request.sender.name];
     const auto generation = static_cast<std::uint64_t>(request.generation);
     if (report.instance.incarnation != static_cast<std::uint64_t>(request.sender.incarnation) ||
@@ -94,9 +94,9 @@
         if (auto formation = formation_for(data_center, now)) {
             spdlog::info("forming data centre group data_center={} generation={}", data_center,
                          formation->generation);
-            formation_in_progress_ = true;
+            proposal_in_progress_ = true;
             group_->propose(encode_formation(*formation),
-                            [this](const auto&) { formation_in_progress_ = false; });
+                            [this](const auto&) { proposal_in_progress_ = false; });
             return;
         }
     }
@@ -152,9 +152,9 @@
                 continue;
             }
             spdlog::info("spreading shards service={} data_centers={}", service.name, slots.size());
-            formation_in_progress_ = true;
+            proposal_in_progress_ = true;
             group_->propose(encode_homes(spread(service.name, service.shards, slots)),
-                            [this](const auto&) { formation_in_progress_ = false; });
+                            [this](const auto&) { proposal_in_progress_ = false; });
             return;
         }
     }
@@ -170,23 +170,24 @@
     return static_cast<std::size_t>(heard) < wanted;
 }
 
-void global_tier::ask_for_disks(time_point now) {
+void global_tier::poll_durable_instances(time_point now) {
     if (now < next_durable_poll_) {
         return;
     }
-    next_durable_poll_ = now + disk_poll_interval;
+    next_durable_poll_ = now + durable_poll_interval;
     for (const auto& [name, it] : shared_.instances) {
         wire::VoterStatusRequest request;
         request.sender = shared_.settings.name;
         shared_.link_to(name)->request(
-            {transport::frame_type::voter_status_request, 0, transport::encode(request)}, disk_poll_interval,
-            [this, name = name](const transport::reply& reply) {
+            {transport::frame_type::voter_status_request, 0, transport::encode(request)},
+            durable_poll_interval, [this, name = name](const transport::reply& reply) {
                 if (!reply.answer) {
                     return;
                 }
                 const auto status = transport::decode<wire::VoterStatusReply>(reply.answer->payload);
                 if (status.identity != 0) {
-                    durable_[name] = {{name, static_cast<std::uint64_t>(status.identity)}, steady_now()};
+                    durable_instances_[name] = {{name, static_cast<std::uint64_t>(status.identity)},
+                                                steady_now()};
                 }
             });
     }
@@ -199,7 +200,7 @@
         return std::any_of(voters.begin(), voters.end(), [&](const auto& it) { return it.name == id.name; });
     };
     std::vector<consensus::member_id> spares;
-    for (const auto& [name, it] : durable_) {
+    for (const auto& [name, it] : durable_instances_) {
         if (now - it.second < report_lifetime) {
             spares.push_back(it.first);
         }
@@ -213,7 +214,7 @@
     options.voters = std::max<std::size_t>(1, shared_.settings.global_voters.size());
     auto view = consensus::replacement_view_of(group_->node(), group_->self(), {}, now);
     if (voter_missing(view, options.voters, now)) {
-        ask_for_disks(now);
+        poll_durable_instances(now);
         view.spares = durable_spares(now);
     }
     if (const auto change = consensus::replacement_policy(options).next(view, now)) {
--- a/src/app/instance/global_tier.cpp
+++ b/src/app/instance/global_tier.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr duration lead_interval = std::chrono::milliseconds(100);
+constexpr duration leader_duty_interval = std::chrono::milliseconds(100);
 constexpr duration voter_poll_interval = std::chrono::milliseconds(200);
 constexpr duration command_timeout = std::chrono::milliseconds(800);
 // An instance that finds no leader serves with the highest version that it found by then: a data centre that
@@ -17,8 +17,8 @@
 
 } // namespace
 
-global_tier::global_tier(control_context& shared, on_state observer)
-    : shared_(shared), observer_(std::move(observer)), started_(steady_now()), next_lead_(started_),
+global_tier::global_tier(control_context& shared, state_observer observer)
+    : shared_(shared), observer_(std::move(observer)), started_(steady_now()), next_leader_duties_(started_),
       next_voter_poll_(started_) {
     if (shared_.settings.data_folder) {
         open_group(std::nullopt);
@@ -50,11 +50,11 @@
         }
         if (group_->store().last_index() == 0 && now >= next_voter_poll_) {
             next_voter_poll_ = now + voter_poll_interval;
-            ask_initial_voters();
+            poll_initial_voters();
         }
         publish();
-        if (leads() && now >= next_lead_) {
-            next_lead_ = now + lead_interval;
+        if (leads() && now >= next_leader_duties_) {
+            next_leader_duties_ = now + leader_duty_interval;
             run_leader_duties(now);
         }
     }
@@ -82,7 +82,7 @@
     return reply;
 }
 
-void global_tier::ask_initial_voters() {
+void global_tier::poll_initial_voters() {
     for (const auto& name : shared_.settings.global_voters) {
         if (name == shared_.settings.name) {
             empty_voters_[name] = static_cast<std::int64_t>(group_->self().incarnation);
@@ -98,15 +98,15 @@
                                   if (!reply.formed && reply.identity != 0) {
                                       empty_voters_[name] = reply.identity;
                                   }
-                                  form_when_all_empty();
+                                  form_group_if_all_empty();
                               }
                           });
         }
     }
-    form_when_all_empty();
+    form_group_if_all_empty();
 }
 
-void global_tier::form_when_all_empty() {
+void global_tier::form_group_if_all_empty() {
     const auto& voters = shared_.settings.global_voters;
     const bool first =
         !voters.empty() && *std::min_element(voters.begin(), voters.end()) == shared_.settings.name;
@@ -127,7 +127,7 @@
 wire::StateReply global_tier::on_state_request(const wire::StateRequest& request, time_point now) {
     shared_.update_instance(from_wire(request.sender));
     if (request.ungrouped) {
-        note_ungrouped(request, now);
+        record_ungrouped(request, now);
     }
     wire::StateReply reply;
     reply.version = known_.version;
--- a/src/app/instance/global_tier.h
+++ b/src/app/instance/global_tier.h
@@ -17,9 +17,9 @@
 /// instance the newest state that it knows and the way to the leader.
 class global_tier {
 public:
-    using on_state = std::function<void(const wire::GlobalState&)>;
+    using state_observer = std::function<void(const wire::GlobalState&)>;
 
-    global_tier(control_context& shared, on_state observer);
+    global_tier(control_context& shared, state_observer observer);
 
     void tick(time_point now);
     void on_consensus_message(const consensus::message& received);
@@ -50,21 +50,21 @@
     };
 
     void open_group(const std::optional<consensus::membership>& initial);
-    void form_when_all_empty();
-    void ask_initial_voters();
+    void form_group_if_all_empty();
+    void poll_initial_voters();
     void run_leader_duties(time_point now);
     void form_groups(time_point now);
     std::optional<wire::GroupFormation> formation_for(const std::string& data_center, time_point now) const;
     void plan_homes(time_point now);
     void replace_voters(time_point now);
     bool voter_missing(const consensus::replacement_view& view, std::size_t wanted, time_point now) const;
-    void ask_for_disks(time_point now);
+    void poll_durable_instances(time_point now);
     std::vector<consensus::member_id> durable_spares(time_point now) const;
     void publish();
-    void note_ungrouped(const wire::StateRequest& request, time_point now);
+    void record_ungrouped(const wire::StateRequest& request, time_point now);
 
     control_context& shared_;
-    on_state observer_;
+    state_observer observer_;
     global_state machine_;
     std::unique_ptr<replicated_group> group_;
     wire::GlobalState known_;
@@ -74,12 +74,12 @@
     std::map<std::string, ungrouped_report> ungrouped_;
     std::map<std::string, time_point> service_first_seen_;
     std::map<std::string, std::pair<consensus::member_id, time_point>>
-        durable_; ///< instances that reported a disk, and when
+        durable_instances_; ///< instances that reported a disk, and when
     time_point next_durable_poll_;
     time_point started_;
-    time_point next_lead_;
+    time_point next_leader_duties_;
     time_point next_voter_poll_;
-    bool formation_in_progress_ = false;
+    bool proposal_in_progress_ = false;
     bool ready_ = false;
 };
 
