--- a/src/app/instance/gate.cpp
+++ b/src/app/instance/gate.cpp
@@ -201,7 +201,7 @@
     case frame_type::ledger_seal:
         from->send(
             {frame_type::ledger_seal_reply, received.correlation,
-             transport::encode(ledger_.on_seal(transport::decode<wire::LedgerSeal>(received.payload)))});
+             transport::encode(ledger_.on_fence(transport::decode<wire::LedgerSeal>(received.payload)))});
         break;
     case frame_type::suspect_update: {
         const auto update = transport::decode<wire::SuspectUpdate>(received.payload);
--- a/src/app/instance/ledger_host.cpp
+++ b/src/app/instance/ledger_host.cpp
@@ -10,7 +10,7 @@
 
 constexpr duration operation_timeout = std::chrono::milliseconds(200);
 // Five times the 2 s within which an accepted profile is in force on all reachable instances.
-constexpr duration profile_spread = std::chrono::seconds(10);
+constexpr duration profile_propagation_time = std::chrono::seconds(10);
 
 wire::LedgerRecord to_wire(const ledger::record& source) {
     wire::LedgerRecord result;
@@ -42,7 +42,7 @@
 
 ledger_host::ledger_host(const instance_id& self, peer_mesh& mesh, const view_holder& views)
     : self_(replica_name(self)), mesh_(mesh), views_(views), writer_(operation_timeout),
-      covered_(profile_spread) {}
+      covered_(profile_propagation_time) {}
 
 void ledger_host::update_retention(const routing_view& view, time_point now) {
     duration longest{0};
@@ -83,7 +83,7 @@
 }
 
 void ledger_host::begin(const ledger::record& wanted, const ledger::writer::on_decision& done) {
-    if (before_reset(wanted)) {
+    if (may_predate_reset(wanted)) {
         done({ledger::verdict::in_doubt, std::nullopt});
         return;
     }
@@ -91,7 +91,7 @@
 }
 
 void ledger_host::check(const ledger::record& wanted, const ledger::writer::on_decision& done) {
-    if (before_reset(wanted)) {
+    if (may_predate_reset(wanted)) {
         done({ledger::verdict::in_doubt, std::nullopt});
         return;
     }
@@ -109,8 +109,8 @@
 
 void ledger_host::tick(time_point now) {
     send(writer_.tick(now));
-    if (!pull_ && now >= next_pull_) {
-        start_pull(now);
+    if (!window_copy_ && now >= next_window_copy_) {
+        start_window_copy(now);
     }
 }
 
@@ -119,7 +119,7 @@
         if (it.write) {
             send_write(it);
         } else {
-            send_seal(it);
+            send_fence(it);
         }
     }
 }
@@ -164,7 +164,7 @@
         });
 }
 
-void ledger_host::send_seal(const ledger::replica_request& message) {
+void ledger_host::send_fence(const ledger::replica_request& message) {
     const time_point now = steady_now();
     const auto& [service, shard] = *message.fence;
     if (message.replica == self_) {
@@ -213,7 +213,7 @@
     return reply;
 }
 
-wire::LedgerSealReply ledger_host::on_seal(const wire::LedgerSeal& received) {
+wire::LedgerSealReply ledger_host::on_fence(const wire::LedgerSeal& received) {
     const auto shard = static_cast<std::uint32_t>(received.shard);
     auto* const replica = local_replica(shard);
     const auto result = replica == nullptr
--- a/src/app/instance/ledger_host.h
+++ b/src/app/instance/ledger_host.h
@@ -35,7 +35,7 @@
     ledger::writer& writer() noexcept { return writer_; }
 
     wire::LedgerRecordReply on_record(const wire::LedgerRecord& received);
-    wire::LedgerSealReply on_seal(const wire::LedgerSeal& received);
+    wire::LedgerSealReply on_fence(const wire::LedgerSeal& received);
     void tick(time_point now);
     /// Takes the retention from the accepted profiles: the longest of them for all windows.
     void update_retention(const routing_view& view, time_point now);
@@ -44,7 +44,7 @@
 
 private:
     /// The copy of the windows of one group from its live replicas.
-    struct pull {
+    struct window_copy {
         std::uint32_t group = 0;
         std::size_t outstanding = 0;
         bool failed = false;
@@ -53,15 +53,15 @@
 
     std::optional<std::uint32_t> group_of(std::uint32_t shard) const;
     ledger::replica* local_replica(std::uint32_t shard);
-    bool before_reset(const ledger::record& wanted) const;
-    void start_pull(time_point now);
-    void ask_for_window(const std::string& replica, const std::string& service, std::uint32_t shard,
+    bool may_predate_reset(const ledger::record& wanted) const;
+    void start_window_copy(time_point now);
+    void request_window(const std::string& replica, const std::string& service, std::uint32_t shard,
                         std::uint64_t epoch);
     void on_window(std::optional<ledger::shard_window> window);
     std::vector<std::string> replicas_of(std::uint32_t shard) const;
     void send(const std::vector<ledger::replica_request>& messages);
     void send_write(const ledger::replica_request& message);
-    void send_seal(const ledger::replica_request& message);
+    void send_fence(const ledger::replica_request& message);
     transport::peer_link* link_to(const std::string& replica);
 
     std::string self_;
@@ -69,8 +69,8 @@
     const view_holder& views_;
     std::map<std::uint32_t, ledger::replica> replicas_; ///< by ledger group
     std::set<std::uint32_t> joining_;
-    std::optional<pull> pull_;
-    time_point next_pull_;
+    std::optional<window_copy> window_copy_;
+    time_point next_window_copy_;
     duration retention_ = std::chrono::minutes(10);
     ledger::writer writer_;
     ledger::guaranteed_retention covered_;
--- a/src/app/instance/ledger_join.cpp
+++ b/src/app/instance/ledger_join.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr duration seal_timeout = std::chrono::milliseconds(500);
-constexpr duration pull_retry = std::chrono::milliseconds(500);
+constexpr duration fence_timeout = std::chrono::milliseconds(500);
+constexpr duration window_copy_retry = std::chrono::milliseconds(500);
 // Clocks of callers may differ from the leader's by this much when a group begins anew.
 constexpr std::int64_t clock_skew_ms = 2000;
 
@@ -28,7 +28,7 @@
 
 /// Epoch of the gate that writes to the shard; a shard without an owner gets a higher one with its next
 /// owner.
-std::uint64_t epoch_of(const ownership::table& rows, const ownership::shard_row& row) {
+std::uint64_t writer_epoch(const ownership::table& rows, const ownership::shard_row& row) {
     return row.owner < rows.upstreams.size() ? rows.upstreams[row.owner].epoch
                                              : ownership::make_epoch(rows.generation, rows.version);
 }
@@ -88,7 +88,7 @@
     return it == replicas_.end() ? nullptr : &it->second;
 }
 
-bool ledger_host::before_reset(const ledger::record& wanted) const {
+bool ledger_host::may_predate_reset(const ledger::record& wanted) const {
     const auto view = views_.load();
     const auto group = group_of(wanted.shard);
     const std::int64_t reset_ms = group ? view->local_table()->ledger_groups[*group].reset_ms : 0;
@@ -103,7 +103,7 @@
     return std::chrono::system_clock::now() < reset + retention_;
 }
 
-void ledger_host::start_pull(time_point now) {
+void ledger_host::start_window_copy(time_point now) {
     const auto view = views_.load();
     const auto* rows = view->local_table();
     const auto group = std::find_if(joining_.begin(), joining_.end(),
@@ -111,8 +111,8 @@
     if (rows == nullptr || group == joining_.end()) {
         return;
     }
-    next_pull_ = now + pull_retry;
-    pull_ = pull{*group, 0, false, {}};
+    next_window_copy_ = now + window_copy_retry;
+    window_copy_ = window_copy{*group, 0, false, {}};
     std::vector<std::string> sources;
     for (const auto& it : rows->ledger_groups[*group].replicas) {
         if (link_to(it) != nullptr && mesh_.up(instance_of(it).name)) {
@@ -123,26 +123,26 @@
         for (std::uint32_t shard = *group; shard < it.shards.size();
              shard += static_cast<std::uint32_t>(rows->ledger_groups.size())) {
             for (const auto& source : sources) {
-                ++pull_->outstanding;
-                ask_for_window(source, service, shard, epoch_of(*rows, it.shards[shard]));
+                ++window_copy_->outstanding;
+                request_window(source, service, shard, writer_epoch(*rows, it.shards[shard]));
             }
         }
     }
     // A record of a majority may be left at one survivor only, so the windows of both are needed.
-    pull_->failed = sources.size() < rows->ledger_groups[*group].replicas.size() / 2 + 1;
-    if (pull_->outstanding == 0) {
-        pull_.reset();
+    window_copy_->failed = sources.size() < rows->ledger_groups[*group].replicas.size() / 2 + 1;
+    if (window_copy_->outstanding == 0) {
+        window_copy_.reset();
     }
 }
 
-void ledger_host::ask_for_window(const std::string& replica, const std::string& service, std::uint32_t shard,
+void ledger_host::request_window(const std::string& replica, const std::string& service, std::uint32_t shard,
                                  std::uint64_t epoch) {
-    wire::LedgerSeal seal;
-    seal.service_name = service;
-    seal.shard = static_cast<std::int32_t>(shard);
-    seal.epoch = static_cast<std::int64_t>(epoch);
+    wire::LedgerSeal fence;
+    fence.service_name = service;
+    fence.shard = static_cast<std::int32_t>(shard);
+    fence.epoch = static_cast<std::int64_t>(epoch);
     link_to(replica)->request(
-        {transport::frame_type::ledger_seal, 0, transport::encode(seal)}, seal_timeout,
+        {transport::frame_type::ledger_seal, 0, transport::encode(fence)}, fence_timeout,
         [this, service, shard](const transport::reply& it) {
             if (!it.answer) {
                 on_window(std::nullopt);
@@ -158,24 +158,24 @@
 }
 
 void ledger_host::on_window(std::optional<ledger::shard_window> window) {
-    if (!pull_) {
+    if (!window_copy_) {
         return;
     }
-    --pull_->outstanding;
+    --window_copy_->outstanding;
     if (window) {
-        pull_->windows.push_back(std::move(*window));
+        window_copy_->windows.push_back(std::move(*window));
     } else {
-        pull_->failed = true;
+        window_copy_->failed = true;
     }
-    if (pull_->outstanding > 0) {
+    if (window_copy_->outstanding > 0) {
         return;
     }
-    const auto ended = std::move(*pull_);
-    pull_.reset();
+    const auto ended = std::move(*window_copy_);
+    window_copy_.reset();
     if (const auto it = replicas_.find(ended.group);
         !ended.failed && it != replicas_.end() && joining_.count(ended.group) != 0) {
         it->second.install(ended.windows, steady_now());
-        next_pull_ = steady_now(); // the next group without a wait
+        next_window_copy_ = steady_now(); // the next group without a wait
     }
 }
 
