--- a/src/app/instance/control_plane.cpp
+++ b/src/app/instance/control_plane.cpp
@@ -257,9 +257,9 @@
 
 void control_plane::on_global_state(const wire::GlobalState& state) {
     data_center_.on_global_state(state);
-    view_.homes.clear();
-    for (const auto& [service, homes] : state.homes) {
-        view_.homes[service] = {homes.data_centers, homes.homes};
+    view_.placements.clear();
+    for (const auto& [service, placement] : state.homes) {
+        view_.placements[service] = {placement.data_centers, placement.homes};
     }
     if (!state.profiles.empty()) {
         const auto accepted = profile::store::decode(state.profiles).all();
--- a/src/app/instance/data_center_leader.cpp
+++ b/src/app/instance/data_center_leader.cpp
@@ -48,7 +48,7 @@
     leader_since_ = now;
     instances_.clear();
     upstreams_.clear();
-    proposed_homes_.clear();
+    proposed_placements_.clear();
     pending_proposals_ = 0;
     active_mirror_ = 0;
     mirrored_version_ = 0;
@@ -201,7 +201,7 @@
         return;
     }
     const auto rows = machine_->current();
-    plan_homes(*rows);
+    propose_placements(*rows);
     plan_ledger_groups(*rows, now);
     propose_lost_upstreams(*rows, now);
     if (pending_proposals_ > 0) {
@@ -230,20 +230,21 @@
     }
 }
 
-void data_center_tier::plan_homes(const ownership::table& rows) {
-    for (const auto& [service, homes] : global_.state().homes) {
-        const auto it = proposed_homes_.find(service);
-        if (rows.services.count(service) == 0 || (it != proposed_homes_.end() && it->second == homes)) {
+void data_center_tier::propose_placements(const ownership::table& rows) {
+    for (const auto& [service, placement] : global_.state().homes) {
+        const auto it = proposed_placements_.find(service);
+        if (rows.services.count(service) == 0 ||
+            (it != proposed_placements_.end() && it->second == placement)) {
             continue;
         }
         ownership::set_placement change{service, {}};
-        for (std::uint32_t shard = 0; shard < homes.homes.size(); ++shard) {
-            const auto home = static_cast<std::size_t>(homes.homes[shard]);
-            if (homes.data_centers.at(home) == shared_.settings.data_center) {
+        for (std::uint32_t shard = 0; shard < placement.homes.size(); ++shard) {
+            const auto index = static_cast<std::size_t>(placement.homes[shard]);
+            if (placement.data_centers.at(index) == shared_.settings.data_center) {
                 change.shards.push_back(shard);
             }
         }
-        proposed_homes_[service] = homes;
+        proposed_placements_[service] = placement;
         propose(change);
     }
 }
--- a/src/app/instance/data_center_tier.h
+++ b/src/app/instance/data_center_tier.h
@@ -110,7 +110,7 @@
     time_point latest_grant_end(const ownership::upstream_row& row) const;
     void plan(time_point now);
     void propose_lost_upstreams(const ownership::table& rows, time_point now);
-    void plan_homes(const ownership::table& rows);
+    void propose_placements(const ownership::table& rows);
     void plan_ledger_groups(const ownership::table& rows, time_point now);
     std::optional<ownership::ledger_group> repair_ledger_group(const ownership::ledger_group& group,
                                                                const std::set<std::string>& live,
@@ -148,7 +148,7 @@
     gate_report report_;
     std::map<std::string, tracked_instance> instances_;
     std::map<std::string, tracked_upstream> upstreams_;
-    std::map<std::string, wire::ServiceHomes> proposed_homes_;
+    std::map<std::string, wire::ServiceHomes> proposed_placements_;
     std::size_t pending_proposals_ = 0; ///< proposals whose result is not known yet
     std::uint64_t mirror_serial_ = 0;
     std::uint64_t active_mirror_ = 0;              ///< serial number of the mirror in progress; 0 when none
--- a/src/app/instance/entry.cpp
+++ b/src/app/instance/entry.cpp
@@ -121,8 +121,8 @@
         return;
     }
     const auto view = views_.load();
-    const auto* owner =
-        view->route(it->request.service_name, static_cast<std::uint32_t>(it->request.shard), it->request.key);
+    const auto* owner = view->find_owner(it->request.service_name,
+                                         static_cast<std::uint32_t>(it->request.shard), it->request.key);
     if (owner == nullptr || owner->gate.empty()) {
         it->last_refusal = refusal::no_owner;
         schedule_reroute(it);
--- a/src/app/instance/global_leader.cpp
+++ b/src/app/instance/global_leader.cpp
@@ -20,7 +20,7 @@
 // Longer than a gate lease (600 ms) with its drift margin: every lease of the former generation has ended.
 constexpr duration reformation_wait = std::chrono::milliseconds(1200);
 // Gives all data centres time to register their upstreams before shards are spread over them.
-constexpr duration home_wait = std::chrono::milliseconds(1500);
+constexpr duration placement_wait = std::chrono::milliseconds(1500);
 
 std::map<std::string, std::uint32_t>
 slots_by_data_center(const std::map<std::string, wire::TableMirror>& mirrors, const std::string& service) {
@@ -37,8 +37,8 @@
 }
 
 /// Spreads shards in proportion to the slots, interleaved.
-wire::ServiceHomes spread(const std::string& service, std::uint32_t shards,
-                          const std::map<std::string, std::uint32_t>& slots) {
+wire::ServiceHomes spread_shards(const std::string& service, std::uint32_t shards,
+                                 const std::map<std::string, std::uint32_t>& slots) {
     wire::ServiceHomes result;
     result.service_name = service;
     std::vector<double> credit;
@@ -67,7 +67,7 @@
     std::erase_if(ungrouped_, [now](const auto& it) { return now - it.second.last > report_lifetime; });
     if (!proposal_in_progress_) {
         form_groups(now);
-        plan_homes(now);
+        propose_placements(now);
     }
     replace_voters(now);
 }
@@ -134,7 +134,7 @@
     return enough ? std::optional(std::move(formation)) : std::nullopt;
 }
 
-void global_tier::plan_homes(time_point now) {
+void global_tier::propose_placements(time_point now) {
     if (known_.profiles.empty()) {
         return;
     }
@@ -148,12 +148,12 @@
                 continue;
             }
             const auto first_seen = service_first_seen_.emplace(service.name, now).first->second;
-            if (now - first_seen < home_wait) {
+            if (now - first_seen < placement_wait) {
                 continue;
             }
             spdlog::info("spreading shards service={} data_centers={}", service.name, slots.size());
             proposal_in_progress_ = true;
-            group_->propose(encode_homes(spread(service.name, service.shards, slots)),
+            group_->propose(encode_placement(spread_shards(service.name, service.shards, slots)),
                             [this](const auto&) { proposal_in_progress_ = false; });
             return;
         }
--- a/src/app/instance/global_state.cpp
+++ b/src/app/instance/global_state.cpp
@@ -28,7 +28,7 @@
         apply_formation(change.formation, index);
     }
     if (change.__isset.homes) {
-        apply_homes(change.homes, index);
+        apply_placement(change.homes, index);
     }
     if (change.__isset.mirror) {
         apply_mirror(change.mirror);
@@ -59,10 +59,10 @@
     visible_.version = static_cast<std::int64_t>(index);
 }
 
-void global_state::apply_homes(const wire::ServiceHomes& homes, std::uint64_t index) {
-    auto& current = visible_.homes[homes.service_name];
-    if (current != homes) {
-        current = homes;
+void global_state::apply_placement(const wire::ServiceHomes& placement, std::uint64_t index) {
+    auto& current = visible_.homes[placement.service_name];
+    if (current != placement) {
+        current = placement;
         visible_.version = static_cast<std::int64_t>(index);
     }
 }
@@ -103,9 +103,9 @@
     return transport::encode(command);
 }
 
-std::string encode_homes(const wire::ServiceHomes& homes) {
+std::string encode_placement(const wire::ServiceHomes& placement) {
     wire::GlobalCommand command;
-    command.__set_homes(homes);
+    command.__set_homes(placement);
     return transport::encode(command);
 }
 
--- a/src/app/instance/global_state.h
+++ b/src/app/instance/global_state.h
@@ -24,7 +24,7 @@
 private:
     std::string apply_profile(const std::string& change, std::uint64_t index);
     void apply_formation(const wire::GroupFormation& formation, std::uint64_t index);
-    void apply_homes(const wire::ServiceHomes& homes, std::uint64_t index);
+    void apply_placement(const wire::ServiceHomes& placement, std::uint64_t index);
     void apply_mirror(const wire::TableMirror& mirror);
 
     profile::store profiles_;
@@ -34,7 +34,7 @@
 
 std::string encode_profile_change(const profile::change& change);
 std::string encode_formation(const wire::GroupFormation& formation);
-std::string encode_homes(const wire::ServiceHomes& homes);
+std::string encode_placement(const wire::ServiceHomes& placement);
 std::string encode_mirror(const wire::TableMirror& mirror);
 profile::change_result decode_change_result(const std::string& bytes);
 
--- a/src/app/instance/global_tier.h
+++ b/src/app/instance/global_tier.h
@@ -55,7 +55,7 @@
     void run_leader_duties(time_point now);
     void form_groups(time_point now);
     std::optional<wire::GroupFormation> formation_for(const std::string& data_center, time_point now) const;
-    void plan_homes(time_point now);
+    void propose_placements(time_point now);
     void replace_voters(time_point now);
     bool voter_missing(const consensus::replacement_view& view, std::size_t wanted, time_point now) const;
     void poll_durable_instances(time_point now);
--- a/src/app/instance/ledger_host.cpp
+++ b/src/app/instance/ledger_host.cpp
@@ -46,7 +46,7 @@
 
 void ledger_host::update_retention(const routing_view& view, time_point now) {
     duration longest{0};
-    for (const auto& [service, homes] : view.homes) {
+    for (const auto& [service, placement] : view.placements) {
         const auto* profile = view.rules ? view.rules->profile_of(service) : nullptr;
         longest = std::max(longest, profile == nullptr ? duration::zero() : profile->ledger_retention);
     }
--- a/src/app/instance/routing_view.h
+++ b/src/app/instance/routing_view.h
@@ -25,13 +25,14 @@
 };
 
 /// Home data centre of each shard of one service.
-struct service_homes {
+struct service_placement {
     std::vector<std::string> data_centers;
-    std::vector<std::int16_t> homes; ///< index into data_centers; -1 while the shard has no home
-    bool operator==(const service_homes&) const = default;
+    std::vector<std::int16_t>
+        data_center_indexes; ///< index into data_centers; -1 while the shard has no home
+    bool operator==(const service_placement&) const = default;
 
     /// Empty while the shard has no home.
-    const std::string& home_of(std::uint32_t shard) const;
+    const std::string& data_center_of(std::uint32_t shard) const;
 };
 
 /// What the traffic threads know of the control state; immutable once published.
@@ -39,13 +40,13 @@
     std::string self;
     std::string data_center;
     std::map<std::string, std::shared_ptr<const ownership::table>> tables; ///< by data centre
-    std::map<std::string, service_homes> homes;                            ///< by service
+    std::map<std::string, service_placement> placements;                   ///< by service
     std::shared_ptr<const profile::rule_index> rules;
     std::map<std::string, instance_info> instances;
 
     /// Row of the upstream that owns the key in its home data centre; null while there is none.
-    const ownership::upstream_row* route(const std::string& service, std::uint32_t shard,
-                                         const std::string& key) const;
+    const ownership::upstream_row* find_owner(const std::string& service, std::uint32_t shard,
+                                              const std::string& key) const;
     /// Table of this instance's data centre; null before the first one arrived.
     const ownership::table* local_table() const;
 };
--- a/src/app/instance/upstream_gate.cpp
+++ b/src/app/instance/upstream_gate.cpp
@@ -79,8 +79,8 @@
 
 bool upstream_gate::still_owner(const gate_request& request) const {
     const auto view = shared_.views.load();
-    const auto* owner = view->route(request.wire.service_name, static_cast<std::uint32_t>(request.wire.shard),
-                                    request.wire.key);
+    const auto* owner = view->find_owner(request.wire.service_name,
+                                         static_cast<std::uint32_t>(request.wire.shard), request.wire.key);
     return owner != nullptr && owner->name == row_.name;
 }
 
