--- a/src/app/instance/replicated_group.cpp
+++ b/src/app/instance/replicated_group.cpp
@@ -11,8 +11,8 @@
 constexpr duration proposal_timeout = std::chrono::seconds(2);
 
 /// Restores the machine before the node can deliver entries that follow the snapshot.
-consensus::options restored(const consensus::options& settings, const storage::log_store& store,
-                            state_machine& machine, std::uint64_t& applied) {
+consensus::options restore_snapshot(const consensus::options& settings, const storage::log_store& store,
+                                    state_machine& machine, std::uint64_t& applied) {
     if (const auto saved = store.load_snapshot(); saved && saved->index > 0) {
         if (!saved->data.empty()) {
             machine.restore(saved->data);
@@ -28,7 +28,7 @@
                                    std::unique_ptr<storage::log_store> store, state_machine& machine,
                                    sender send)
     : self_(settings.self), store_(std::move(store)), machine_(machine), send_(std::move(send)),
-      node_(restored(settings, *store_, machine_, applied_), *store_, steady_now()) {}
+      node_(restore_snapshot(settings, *store_, machine_, applied_), *store_, steady_now()) {}
 
 void replicated_group::receive(const consensus::message& received) {
     perform(node_.receive(received, steady_now()));
@@ -37,7 +37,7 @@
 void replicated_group::tick() {
     const time_point now = steady_now();
     perform(node_.tick(now));
-    expire(now);
+    expire_proposals(now);
 }
 
 void replicated_group::propose(std::string command, on_result done) {
@@ -87,7 +87,7 @@
     for (const auto& it : effects.committed) {
         apply(it);
     }
-    compact_when_long();
+    compact_if_needed();
 }
 
 void replicated_group::apply(const storage::entry& committed) {
@@ -107,7 +107,7 @@
     done(own ? std::optional(std::move(result)) : std::nullopt);
 }
 
-void replicated_group::compact_when_long() {
+void replicated_group::compact_if_needed() {
     if (applied_ + 1 > store_->first_index() + entries_before_snapshot) {
         node_.compact(applied_, machine_.save());
     }
@@ -119,7 +119,7 @@
     }
 }
 
-void replicated_group::expire(time_point now) {
+void replicated_group::expire_proposals(time_point now) {
     std::vector<on_result> expired;
     std::erase_if(proposals_, [&](auto& it) {
         if (now - it.second.since < proposal_timeout) {
--- a/src/app/instance/replicated_group.h
+++ b/src/app/instance/replicated_group.h
@@ -51,7 +51,7 @@
     storage::log_store& store() noexcept { return *store_; }
 
 private:
-    struct waiting {
+    struct pending_proposal {
         std::uint64_t term = 0;
         time_point since;
         on_result done;
@@ -59,8 +59,8 @@
 
     void perform(consensus::effects effects);
     void apply(const storage::entry& committed);
-    void compact_when_long();
-    void expire(time_point now);
+    void compact_if_needed();
+    void expire_proposals(time_point now);
 
     consensus::member_id self_;
     std::unique_ptr<storage::log_store> store_;
@@ -68,7 +68,7 @@
     sender send_;
     std::uint64_t applied_ = 0;
     consensus::node node_;
-    std::map<std::uint64_t, waiting> proposals_; ///< by log index
+    std::map<std::uint64_t, pending_proposal> proposals_; ///< by log index
 };
 
 } // namespace kingcupseam::app
