--- a/src/app/instance/gate.cpp
+++ b/src/app/instance/gate.cpp
@@ -154,10 +154,10 @@
     if (it != upstreams_.end()) {
         return it->second.get();
     }
-    return settings_.routing == settings::routing_mode::direct ? add_direct_gate(upstream) : nullptr;
+    return settings_.routing == settings::routing_mode::direct ? create_direct_gate(upstream) : nullptr;
 }
 
-upstream_gate* gate::add_direct_gate(const std::string& upstream) {
+upstream_gate* gate::create_direct_gate(const std::string& upstream) {
     const auto view = views_.load();
     for (const auto& [data_center, rows] : view->tables) {
         if (const auto* row = rows->find(upstream)) {
--- a/src/app/instance/gate.h
+++ b/src/app/instance/gate.h
@@ -40,7 +40,7 @@
     void dial_ledger_replicas(const routing_view& view);
     void broadcast_poison_requests(const std::vector<admission::poison_request_list::record>& changed);
     upstream_gate* find(const std::string& upstream);
-    upstream_gate* add_direct_gate(const std::string& upstream);
+    upstream_gate* create_direct_gate(const std::string& upstream);
     time_point lease_end() const noexcept { return time_point(duration(lease_end_.load())); }
 
     asio::io_context& context_;
--- a/src/app/instance/gate_request.h
+++ b/src/app/instance/gate_request.h
@@ -23,7 +23,7 @@
     std::string digest;     ///< identifies the content, for crash suspects and reused idempotency keys
     std::string attempt_id; ///< Kingcupseam-Request-Id of the current attempt
     std::uint64_t ticket = 0;
-    std::uint64_t call = 0; ///< of the HTTP client, while the attempt is in flight
+    std::uint64_t client_call = 0; ///< of the HTTP client, while the attempt is in flight
     time_point sent;
     std::uint32_t attempts = 0;
     bool in_flight = false;
--- a/src/app/instance/grant_pusher.cpp
+++ b/src/app/instance/grant_pusher.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-json scope_json(const ownership::grant_holder::scope& granted) {
+json shards_json(const ownership::grant_holder::scope& granted) {
     json ranges = json::array();
     for (const auto& [first, last] : granted.shards) {
         ranges.push_back({first, last});
@@ -45,7 +45,7 @@
               {"lease_ms", std::chrono::duration_cast<std::chrono::milliseconds>(granted.lease).count()},
               {"token", granted.token}};
     if (granted.with_shards || granted.revoke) {
-        body["shards"] = granted.revoke ? json::array() : scope_json(scope_);
+        body["shards"] = granted.revoke ? json::array() : shards_json(scope_);
         body["hot_keys"] = granted.revoke ? json::array() : json(scope_.hot_keys);
         body["moved_keys"] = json(scope_.moved_keys);
     }
--- a/src/app/instance/upstream_dispatch.cpp
+++ b/src/app/instance/upstream_dispatch.cpp
@@ -13,7 +13,7 @@
 constexpr std::string_view token_header = "kingcupseam-token";
 // An execution that is not over by then no longer keeps its slot, so that a faulty upstream is not lost for
 // good.
-constexpr duration longest_hold = std::chrono::seconds(10);
+constexpr duration max_slot_hold = std::chrono::seconds(10);
 // Answers above this size are passed on but not recorded: a resend then gets `unknown`.
 constexpr std::size_t max_recorded_answer = 16 * 1024;
 
@@ -65,7 +65,7 @@
     return record;
 }
 
-void upstream_gate::start(const gate_request_ptr& request) {
+void upstream_gate::dispatch(const gate_request_ptr& request) {
     if (!still_owner(*request)) {
         release(request, std::nullopt);
         finish(request, not_run_response(refusal::stale_route));
@@ -90,7 +90,7 @@
         // The clock is read again: this process may have been paused since the queue released the request.
         if (request->deadline <= now || !may_dispatch(now) || !still_owner(*request)) {
             const bool late = request->deadline <= now;
-            on_surely_not_run(request, late ? refusal::deadline : refusal::stale_route, false);
+            on_not_run(request, late ? refusal::deadline : refusal::stale_route, false);
         } else {
             send(request);
         }
@@ -120,11 +120,11 @@
         finish(request, unknown_response(refusal::stale_route));
         break;
     }
-    pump();
+    dispatch_waiting();
 }
 
-void upstream_gate::on_checked(const gate_request_ptr& request, const ledger::decision& found,
-                               const wire::ForwardResponse& refused) {
+void upstream_gate::on_ledger_check(const gate_request_ptr& request, const ledger::decision& found,
+                                    const wire::ForwardResponse& refused) {
     switch (found.result) {
     case ledger::verdict::answer:
         finish(request, recorded_response(*found.known));
@@ -183,7 +183,7 @@
     ++request->attempts;
     request->sent = now;
     request->in_flight = true;
-    request->call =
+    request->client_call =
         client_->send(make_call(*request, now), [this, alive = alive_, request](const http_result& it) {
             if (*alive && request->in_flight) {
                 request->in_flight = false;
@@ -206,7 +206,7 @@
     } else {
         on_failure(request, result.failure);
     }
-    pump();
+    dispatch_waiting();
 }
 
 void upstream_gate::on_answer(const gate_request_ptr& request, const http_response& answer) {
@@ -220,7 +220,7 @@
                                : not_started == "deadline" ? refusal::deadline
                                                            : refusal::stale_route;
         release(request, std::nullopt);
-        on_surely_not_run(request, reason, reason == refusal::upstream_shed);
+        on_not_run(request, reason, reason == refusal::upstream_shed);
         return;
     }
     const duration service_time = now - request->sent;
@@ -250,39 +250,39 @@
         if (failure == http_failure::refused) {
             on_upstream_refused(now);
         }
-        on_surely_not_run(request, refusal::upstream_failed, true);
+        on_not_run(request, refusal::upstream_failed, true);
         return;
     }
     if (failure == http_failure::broken || failure == http_failure::cut_off) {
         health_.on_connection_broken(now);
-        recently_broken_[request->digest] = now;
+        recently_disconnected_[request->digest] = now;
     } else {
         health_.on_timeout(now);
     }
-    ask_for_outcome(request);
+    query_outcome(request);
 }
 
-void upstream_gate::ask_for_outcome(const gate_request_ptr& request) {
+void upstream_gate::query_outcome(const gate_request_ptr& request) {
     cancel_attempt(request->attempt_id, [this, request](const http_result& result, const std::string& state) {
         const time_point now = steady_now();
         if (result.failure == http_failure::refused) {
             on_upstream_refused(now);
         }
         if (state == "running" && running_.erase(request->ticket) != 0) {
-            hold_slot(request->ticket, request->attempt_id, now + longest_hold);
+            hold_slot(request->ticket, request->attempt_id, now + max_slot_hold);
         } else {
             release(request, std::nullopt);
         }
         if (state == "cancelled" || state == "not-seen") {
-            on_surely_not_run(request, refusal::deadline, true);
+            on_not_run(request, refusal::deadline, true);
         } else {
             on_may_have_run(request, refusal::upstream_failed);
         }
-        pump();
+        dispatch_waiting();
     });
 }
 
-void upstream_gate::on_surely_not_run(const gate_request_ptr& request, refusal reason, bool retry_wanted) {
+void upstream_gate::on_not_run(const gate_request_ptr& request, refusal reason, bool retry_wanted) {
     if (uses_ledger(*request)) {
         shared_.ledger.finish(record_of(*request, ledger::record_state::not_run));
     }
@@ -332,7 +332,7 @@
         request->exclusive = shared_.poison_requests.status_of(request->digest, steady_now()) !=
                              admission::poison_request_list::status::clear;
         admit(request);
-        pump();
+        dispatch_waiting();
     });
     return true;
 }
--- a/src/app/instance/upstream_faults.cpp
+++ b/src/app/instance/upstream_faults.cpp
@@ -13,7 +13,7 @@
 constexpr duration probe_timeout = std::chrono::milliseconds(300);
 constexpr duration cancel_timeout = std::chrono::milliseconds(300);
 // Asking 20 times a second frees a slot late by 50 ms at most and costs little beside the grants.
-constexpr duration hold_interval = std::chrono::milliseconds(50);
+constexpr duration slot_poll_interval = std::chrono::milliseconds(50);
 constexpr duration silence_limit = std::chrono::milliseconds(250);
 
 } // namespace
@@ -35,7 +35,7 @@
     call.timeout = probe_timeout;
     call.connect_timeout = probe_timeout;
     call.fresh_connection = true;
-    inspection_client_.send(std::move(call), [this, alive = alive_](const http_result& result) {
+    probe_client_.send(std::move(call), [this, alive = alive_](const http_result& result) {
         if (*alive) {
             probe_in_progress_ = false;
             on_probe_result(result);
@@ -49,11 +49,11 @@
         on_upstream_refused(now);
     } else if (result.failure == http_failure::none) {
         health_.on_probe_answered(now);
-        inspect_silent_calls(now);
+        check_silent_requests(now);
     }
 }
 
-void upstream_gate::inspect_silent_calls(time_point now) {
+void upstream_gate::check_silent_requests(time_point now) {
     std::vector<gate_request_ptr> silent;
     for (const auto& [ticket, request] : running_) {
         if (request->in_flight && now - request->sent > silence_limit) {
@@ -68,8 +68,8 @@
         call.body = json{{"request_id", request->attempt_id}}.dump();
         call.timeout = probe_timeout;
         call.fresh_connection = true;
-        inspection_client_.send(std::move(call), [this, alive = alive_, request,
-                                                  attempt = request->attempt_id](const http_result& answer) {
+        probe_client_.send(std::move(call), [this, alive = alive_, request,
+                                             attempt = request->attempt_id](const http_result& answer) {
             if (!*alive || !request->in_flight || request->attempt_id != attempt ||
                 answer.failure != http_failure::none) {
                 return;
@@ -84,15 +84,15 @@
                             "Connections that went silent while new ones worked")
                 .add();
             request->in_flight = false;
-            client_->cancel(request->call);
+            client_->cancel(request->client_call);
             replace_client();
             release(request, std::nullopt);
             if (state == "finished") {
                 on_may_have_run(request, refusal::upstream_failed);
             } else {
-                on_surely_not_run(request, refusal::upstream_failed, true);
+                on_not_run(request, refusal::upstream_failed, true);
             }
-            pump();
+            dispatch_waiting();
         });
     }
 }
@@ -107,19 +107,18 @@
     call.timeout = cancel_timeout;
     call.connect_timeout = cancel_timeout;
     call.fresh_connection = true;
-    inspection_client_.send(
-        std::move(call), [alive = alive_, done = std::move(done)](const http_result& result) {
-            if (!*alive) {
-                return;
-            }
-            const bool answered = result.failure == http_failure::none && result.answer.status == 200;
-            const auto body = answered ? json::parse(result.answer.body, nullptr, false) : json();
-            done(result, body.is_object() ? body.value("state", "") : std::string());
-        });
+    probe_client_.send(std::move(call), [alive = alive_, done = std::move(done)](const http_result& result) {
+        if (!*alive) {
+            return;
+        }
+        const bool answered = result.failure == http_failure::none && result.answer.status == 200;
+        const auto body = answered ? json::parse(result.answer.body, nullptr, false) : json();
+        done(result, body.is_object() ? body.value("state", "") : std::string());
+    });
 }
 
 void upstream_gate::hold_slot(std::uint64_t ticket, const std::string& attempt_id, time_point until) {
-    auto timer = std::make_shared<asio::steady_timer>(shared_.io, hold_interval);
+    auto timer = std::make_shared<asio::steady_timer>(shared_.io, slot_poll_interval);
     timer->async_wait([this, alive = alive_, timer, ticket, attempt_id, until](const asio::error_code&) {
         if (!*alive) {
             return;
@@ -133,7 +132,7 @@
                 return;
             }
             queue_->finished(ticket, std::nullopt, now);
-            pump();
+            dispatch_waiting();
         });
     });
 }
@@ -152,15 +151,15 @@
 
 void upstream_gate::on_upstream_refused(time_point now) {
     health_.on_connect_refused(now);
-    if (recently_broken_.empty()) {
+    if (recently_disconnected_.empty()) {
         return;
     }
     // Connections broke and now nothing listens: the upstream died with these requests in flight.
     std::vector<std::string> digests;
-    for (const auto& [digest, when] : recently_broken_) {
+    for (const auto& [digest, when] : recently_disconnected_) {
         digests.push_back(digest);
     }
-    recently_broken_.clear();
+    recently_disconnected_.clear();
     spdlog::warn("upstream died upstream={} requests_in_flight={}", row_.name, digests.size());
     shared_.broadcast_poison_requests(shared_.poison_requests.on_crash(digests, now));
 }
--- a/src/app/instance/upstream_gate.cpp
+++ b/src/app/instance/upstream_gate.cpp
@@ -41,7 +41,7 @@
     : shared_(shared), row_(row),
       client_(std::make_unique<http_client>(
           shared.io, http_client::options{.max_connections_per_host = row.connections})),
-      inspection_client_(shared.io, {.max_connections_per_host = 4}),
+      probe_client_(shared.io, {.max_connections_per_host = 4}),
       queue_(make_queue(shared.settings.routing, row)), retries_({}, row.incarnation),
       health_({}, steady_now()),
       grants_(shared.io, row.address, shared.settings.grant_lease, shared.settings.grant_interval,
@@ -67,7 +67,7 @@
             queue_->set_policy(rank_policies(*profile));
         }
     }
-    pump();
+    dispatch_waiting();
 }
 
 bool upstream_gate::may_dispatch(time_point now) const {
@@ -115,7 +115,7 @@
     }
     retries_.on_first_attempt(request->arrived);
     admit(request);
-    pump();
+    dispatch_waiting();
 }
 
 void upstream_gate::admit(const gate_request_ptr& request) {
@@ -136,7 +136,7 @@
     }
 }
 
-void upstream_gate::pump() {
+void upstream_gate::dispatch_waiting() {
     const time_point now = steady_now();
     if (!may_dispatch(now)) {
         return;
@@ -147,7 +147,7 @@
         const auto request = it->second;
         waiting_.erase(it);
         running_.emplace(ticket->id, request);
-        start(request);
+        dispatch(request);
     }
     for (const auto& ticket : expired) {
         const auto it = waiting_.find(ticket.id);
@@ -157,7 +157,7 @@
     }
 }
 
-void upstream_gate::expire(time_point now) {
+void upstream_gate::refuse_expired(time_point now) {
     std::vector<gate_request_ptr> expired;
     for (const auto& [ticket, request] : waiting_) {
         if (request->deadline <= now) {
@@ -178,11 +178,11 @@
         }
     }
     queue_->set_slots(row_.slots * health_.slot_fraction(now));
-    expire(now);
+    refuse_expired(now);
     check_silence(now);
-    std::erase_if(recently_broken_,
+    std::erase_if(recently_disconnected_,
                   [now](const auto& it) { return now - it.second > std::chrono::seconds(1); });
-    pump();
+    dispatch_waiting();
 }
 
 void upstream_gate::hand_over() {
@@ -215,7 +215,7 @@
     shared_.ledger.check(record_of(*request, ledger::record_state::begun),
                          [this, alive = alive_, request, refused](const ledger::decision& found) {
                              if (*alive) {
-                                 on_checked(request, found, refused);
+                                 on_ledger_check(request, found, refused);
                              }
                          });
 }
@@ -228,10 +228,10 @@
         }
     }
     // Another gate may run a key that this gate no longer holds, or may have run it.
-    const bool unfounded =
+    const bool not_run_unproven =
         uses_ledger(*request) &&
         (response.reason == static_cast<std::int8_t>(refusal::stale_route) || !may_claim_not_run(*request));
-    if ((request->may_have_run || unfounded) &&
+    if ((request->may_have_run || not_run_unproven) &&
         response.outcome == static_cast<std::int8_t>(outcome::not_run)) {
         response.outcome = static_cast<std::int8_t>(outcome::unknown);
     }
--- a/src/app/instance/upstream_gate.h
+++ b/src/app/instance/upstream_gate.h
@@ -52,33 +52,33 @@
 
 private:
     void admit(const gate_request_ptr& request);
-    void pump();
-    void expire(time_point now);
+    void dispatch_waiting();
+    void refuse_expired(time_point now);
     bool may_dispatch(time_point now) const;
     bool still_owner(const gate_request& request) const;
 
-    void start(const gate_request_ptr& request);
+    void dispatch(const gate_request_ptr& request);
     void on_ledger_decision(const gate_request_ptr& request, const ledger::decision& decision);
     void send(const gate_request_ptr& request);
     http_call make_call(gate_request& request, time_point now);
     void on_result(const gate_request_ptr& request, const http_result& result);
     void on_answer(const gate_request_ptr& request, const http_response& answer);
     void on_failure(const gate_request_ptr& request, http_failure failure);
-    void ask_for_outcome(const gate_request_ptr& request);
+    void query_outcome(const gate_request_ptr& request);
     /// Cancels the attempt at the upstream. @p done gets the state that the upstream told, empty without one.
     void cancel_attempt(const std::string& attempt_id,
                         std::function<void(const http_result&, const std::string& state)> done);
     /// Keeps the slot of an execution that could not be cancelled until the upstream has finished it.
     void hold_slot(std::uint64_t ticket, const std::string& attempt_id, time_point until);
-    void on_surely_not_run(const gate_request_ptr& request, refusal reason, bool retry);
+    void on_not_run(const gate_request_ptr& request, refusal reason, bool retry);
     void on_may_have_run(const gate_request_ptr& request, refusal reason);
     bool retry(const gate_request_ptr& request);
     void release(const gate_request_ptr& request, std::optional<duration> service_time);
     /// Refuses a request that the ledger has not decided. An earlier send of the idempotency key of an
     /// at-most-once request may have run, so the ledger window is read before `not-run` is claimed.
     void refuse(const gate_request_ptr& request, refusal reason, duration retry_after = duration{0});
-    void on_checked(const gate_request_ptr& request, const ledger::decision& found,
-                    const wire::ForwardResponse& refused);
+    void on_ledger_check(const gate_request_ptr& request, const ledger::decision& found,
+                         const wire::ForwardResponse& refused);
     bool uses_ledger(const gate_request& request) const;
     bool holds_lease(time_point now) const;
     /// True while no other instance can be the gate of the request's key.
@@ -88,7 +88,7 @@
 
     void check_silence(time_point now);
     void on_probe_result(const http_result& result);
-    void inspect_silent_calls(time_point now);
+    void check_silent_requests(time_point now);
     void on_upstream_refused(time_point now);
     void replace_client();
 
@@ -96,7 +96,7 @@
     ownership::upstream_row row_;
     std::unique_ptr<http_client> client_;
     std::vector<std::unique_ptr<http_client>> retired_clients_;
-    http_client inspection_client_; ///< fresh connections for probes and cancellation
+    http_client probe_client_; ///< fresh connections for probes and cancellation
     std::unique_ptr<admission::queue> queue_;
     admission::retry_budget retries_;
     admission::upstream_health health_;
@@ -104,7 +104,7 @@
     std::unordered_map<std::uint64_t, gate_request_ptr> waiting_; ///< by ticket
     std::unordered_map<std::uint64_t, gate_request_ptr> running_; ///< by ticket
     std::unordered_map<std::string, gate_request_ptr> by_key_; ///< at-most-once requests by idempotency key
-    std::map<std::string, time_point> recently_broken_;        ///< digests of attempts whose connection broke
+    std::map<std::string, time_point> recently_disconnected_;  ///< digests of attempts whose connection broke
     std::uint64_t next_ticket_ = 1;
     std::shared_ptr<const profile::rule_index> rules_;
     bool probe_in_progress_ = false;
