--- a/src/app/instance/announcement.cpp
+++ b/src/app/instance/announcement.cpp
@@ -54,7 +54,8 @@
     std::uint64_t value = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
     if (text.empty() || parsed.ec != std::errc{} || parsed.ptr != text.data() + text.size()) {
-        throw invalid_input(source_name, "incarnation", "must be a decimal string of a 64-bit number");
+        throw invalid_input(source_name, "incarnation",
+                            "must be a string with a decimal unsigned 64-bit number");
     }
     return static_cast<std::int64_t>(value);
 }
@@ -104,8 +105,8 @@
 }
 
 http_response announcement_unavailable() {
-    auto response =
-        json_response(503, {{"problem", "the data centre group has no leader or the service no profile"}});
+    auto response = json_response(
+        503, {{"problem", "the data centre group has no leader, or no profile defines the service"}});
     response.headers.emplace_back("Retry-After", "1");
     return response;
 }
--- a/src/app/instance/announcement.h
+++ b/src/app/instance/announcement.h
@@ -10,8 +10,8 @@
 
 namespace kingcupseam::app {
 
-/// Reads the announcement of an upstream; docs/protocol.md describes it.
-/// @throws invalid_input naming the field and its range
+/// Parses an upstream's announcement as specified in docs/protocol.md.
+/// @throws invalid_input with the name and permitted range of the offending field
 wire::Announce parse_announcement(const http_request& request);
 
 http_response announcement_accepted(const std::string& data_center, const std::string& instance);
