--- a/src/app/instance/control_context.h
+++ b/src/app/instance/control_context.h
@@ -15,18 +15,18 @@
 
 namespace kingcupseam::app {
 
-/// What the parts of the control thread share.
+/// State shared by the components of the control thread.
 struct control_context {
     asio::io_context& io;
     const settings::instance_settings& settings;
     std::uint64_t incarnation = 0;
     peer_mesh& mesh;
     metrics::registry& registry;
-    std::map<std::string, instance_info> instances; ///< every instance that this one knows, itself included
+    std::map<std::string, instance_info> instances; ///< all other known instances, by name
 
-    /// Remembers an instance; a higher incarnation replaces a lower one. @returns true when something changed
+    /// Records an instance unless a higher incarnation of it is known. @returns true if the entry changed
     bool update_instance(const instance_info& known);
-    /// Link to a known instance; null for an unknown one and for this instance itself.
+    /// Link to a known instance; null if the name is unknown or this instance's own.
     transport::peer_link* link_to(const std::string& name);
     instance_info self() const;
 };
@@ -38,8 +38,8 @@
 wire::ConsensusMessage to_wire(const consensus::message& source);
 consensus::message from_wire(const wire::ConsensusMessage& source);
 
-/// Group numbers: the global group has 1; a data centre's group has a hash of its name with the generation in
-/// the low bits, so that messages of an earlier generation are dropped.
+/// Group numbers identify the consensus group of a message. The global group has 1; a data centre's group has
+/// a hash of its name with the generation in the low bits, so messages of earlier generations are dropped.
 inline constexpr std::uint64_t global_group_number = 1;
 std::uint64_t group_number(const std::string& data_center, std::uint64_t generation);
 
--- a/src/app/instance/control_usage.h
+++ b/src/app/instance/control_usage.h
@@ -8,16 +8,17 @@
 
 namespace kingcupseam::app {
 
-/// Measures what the control thread costs, for docs/CAPACITY.md. All members are called on that thread.
+/// Metrics of the control thread's traffic, processor time and memory; docs/CAPACITY.md uses them. All
+/// members must be called on that thread.
 class control_usage {
 public:
     explicit control_usage(metrics::registry& registry);
 
-    /// Counts a frame that reached the control thread's frame handler. Replies to requests and heartbeats are
-    /// contained only in the byte totals.
+    /// Counts a frame passed to the control thread's frame handler. Replies to requests and heartbeats do not
+    /// reach the handler; they are included only in the byte totals.
     void count_frame(const transport::frame& received);
     void count_datagram();
-    /// Writes the totals of the links and the use of processor time and memory to the registry.
+    /// Writes the byte totals, the processor time and the memory use to the registry.
     void update(const peer_mesh& links, const transport::peer_server& server,
                 const transport::datagram_channel& datagrams);
 
