--- a/src/app/instance/control_plane.cpp
+++ b/src/app/instance/control_plane.cpp
@@ -13,7 +13,7 @@
 
 constexpr duration tick_interval = std::chrono::milliseconds(10);
 constexpr duration gossip_interval = std::chrono::milliseconds(250);
-// One probe interval of a usual load balancer; callers that still arrive in it are served.
+// Typical probe interval of a load balancer; requests that arrive during it are still served.
 constexpr duration unready_period = std::chrono::seconds(1);
 constexpr duration gossip_timeout = std::chrono::milliseconds(500);
 
@@ -99,8 +99,8 @@
 }
 
 std::string control_plane::pick_gossip_target() {
-    // An instance without a group reports to the leader, which alone forms groups; and only the leader can
-    // tell a starting instance that its state is current.
+    // Only the leader of the global group forms data centre groups and can confirm to a starting instance
+    // that its state is current, so an instance that waits for either asks the leader.
     if ((!global_.ready() || data_center_.ungrouped(steady_now())) &&
         shared_.link_to(global_.leader()) != nullptr) {
         return global_.leader();
@@ -285,7 +285,8 @@
     view_.instances = shared_.instances;
     auto next = std::make_shared<routing_view>(view_);
     if (!global_.ready()) {
-        // An older profile than the one that was in force before a restart must not come back.
+        // The known profile may be older than the one in force before a restart, so it is not applied until
+        // the state is confirmed.
         next->rules = nullptr;
     }
     callbacks_.on_view(std::move(next));
--- a/src/app/instance/control_plane.h
+++ b/src/app/instance/control_plane.h
@@ -15,8 +15,8 @@
 
 namespace kingcupseam::app {
 
-/// Everything that the control thread owns: both groups, membership, the newest routing view, and the
-/// listeners of other instances, upstreams and operators.
+/// All state of the control thread: both consensus groups, the membership detector, the latest routing view,
+/// and the listeners for other instances, upstreams and operators.
 class control_plane {
 public:
     struct observer {
@@ -28,11 +28,12 @@
                   std::uint64_t incarnation, metrics::registry& registry, observer callbacks);
 
     void on_gate_report(gate_report report) { data_center_.on_gate_report(std::move(report)); }
-    /// Asks the leader to give this instance's gates to others.
+    /// Fails the readiness check, leaves the membership, and asks the leader to assign this instance's gates
+    /// to other instances.
     void begin_shutdown();
-    /// True once no row names this instance as a gate.
+    /// True once the routing table has no live upstream with this instance as its gate.
     bool handed_over() const;
-    /// True once the platform's load balancer has had time to see that this instance is not ready.
+    /// True once the platform's load balancer has had time to see the failed readiness check.
     bool unready_period_elapsed() const;
     void stop();
 
