--- a/src/app/instance/announcement.h
+++ b/src/app/instance/announcement.h
@@ -11,7 +11,7 @@
 namespace kingcupseam::app {
 
 /// Parses an upstream's announcement as specified in docs/protocol.md.
-/// @throws invalid_input with the name and permitted range of the offending field
+/// @throws invalid_input that names the field and says what it must be
 wire::Announce parse_announcement(const http_request& request);
 
 http_response announcement_accepted(const std::string& data_center, const std::string& instance);
--- a/src/app/instance/control_plane.cpp
+++ b/src/app/instance/control_plane.cpp
@@ -285,8 +285,8 @@
     view_.instances = shared_.instances;
     auto next = std::make_shared<routing_view>(view_);
     if (!global_.ready()) {
-        // The known profile may be older than the one in force before a restart, so it is not applied until
-        // the state is confirmed.
+        // The known profile may be older than the one in force before a restart, so it is not used until the
+        // global state is confirmed or the wait for it has ended.
         next->rules = nullptr;
     }
     callbacks_.on_view(std::move(next));
