--- a/src/app/instance/data_center_leader.cpp
+++ b/src/app/instance/data_center_leader.cpp
@@ -1,5 +1,5 @@
-// Duties of the leader of a data centre group: gate leases, registration, planning, mirroring and
-// publication.
+// Duties of a data centre group's leader: granting gate leases, registering upstreams, planning, and
+// mirroring and publishing the routing table.
 #include "app/instance/data_center_tier.h"
 
 #include <kingcupseam/profile.h>
@@ -13,14 +13,14 @@
 namespace {
 
 constexpr duration gate_lease = std::chrono::milliseconds(600);
-// Covers a clock that runs 0.5% fast and the rounding of times.
+// Covers a clock that runs 0.5% fast, and rounding.
 constexpr duration drift_margin = std::chrono::milliseconds(5);
 constexpr duration plan_interval = std::chrono::milliseconds(40);
-// Two renewals every 150 ms may be missed before another instance takes over the gates.
+// Tolerates two missed renewals, one every 150 ms, before another instance takes over the gates.
 constexpr duration instance_lost_after = std::chrono::milliseconds(400);
 constexpr duration mirror_retry = std::chrono::seconds(1);
-// Many round trips between data centres and syncs of a disk, and short enough for keys to be served again
-// within 1 s when the leader of the global group is lost together with an owner or a gate.
+// Long enough for many round trips between data centres and disk syncs; short enough to serve keys again
+// within 1 s if the leader of the global group is lost together with an owner or a gate.
 constexpr duration mirror_wait = std::chrono::milliseconds(100);
 
 } // namespace
@@ -57,8 +57,8 @@
 }
 
 bool data_center_tier::majority_requested_lease(time_point now) const {
-    // An instance supports one generation at a time. With a majority needed for each, two generations cannot
-    // both be supported, whatever part of the data centre is cut off.
+    // An instance requests leases in one generation at a time. As each generation needs a majority, no two
+    // generations can grant leases at once, however the data centre is partitioned.
     const std::size_t size = std::max<std::size_t>(shared_.settings.data_center_size, 1);
     const std::size_t needed = size / 2 + 1;
     const auto recent = std::count_if(instances_.begin(), instances_.end(), [now](const auto& it) {
@@ -95,7 +95,7 @@
 void data_center_tier::record_reports(const wire::GateLeaseRequest& request, time_point now) {
     auto& gate = instances_[request.gate.name];
     if (gate.applied_epoch != static_cast<ownership::epoch_number>(request.applied_epoch)) {
-        next_plan_ = now; // a move may wait for this gate
+        next_plan_ = now; // a shard move may be waiting for this gate
     }
     gate.applied_epoch = static_cast<ownership::epoch_number>(request.applied_epoch);
     gate.grants_live_until.clear();
@@ -125,19 +125,17 @@
 }
 
 time_point data_center_tier::latest_grant_end(const ownership::upstream_row& row) const {
-    // Grants of the former leader's gates end within the gate lease that it may have renewed until it lost
-    // its quorum.
+    // The former leader may have renewed gate leases until it lost its quorum; grants end within those.
     time_point bound = leader_since_ + gate_lease + drift_margin;
     if (generation_ > 1) {
-        // The leader of the former generation counts a supporter for one lease after its last request and may
-        // grant until then, so its gates can act for two leases after this generation first had a majority.
+        // The leader of the former generation counts a request for one lease period and may grant leases
+        // until then, so its gates can act for two lease periods after this generation first had a majority.
         bound = std::max(bound, first_granted_ + 2 * gate_lease + 2 * drift_margin);
     }
     for (const auto& [name, it] : instances_) {
         const bool renews = row.gate == name && row.condition != ownership::upstream_status::lost;
         if (renews || it.applied_epoch < row.epoch) {
-            // It may renew the grant, or may have done so since its last report, but never past its own
-            // lease.
+            // It may renew the grant, or may have done so since its last report, but not past its own lease.
             bound = std::max(bound, it.lease_until);
         } else if (const auto grant = it.grants_live_until.find({row.name, row.incarnation});
                    grant != it.grants_live_until.end()) {
@@ -161,8 +159,8 @@
                        [&](const auto& it) { return owned(it.second); });
 }
 
-/// While a lost incarnation still owns shards, the planner waits for the end of its grants, not of its
-/// successor's.
+/// True if another, lost incarnation of the upstream still owns shards. The planner then waits for the end of
+/// that incarnation's grants.
 bool lost_incarnation_owns_shards(const ownership::table& rows, const ownership::upstream_row& row) {
     return std::any_of(rows.upstreams.begin(), rows.upstreams.end(), [&](const ownership::upstream_row& it) {
         return &it != &row && it.name == row.name && it.condition == ownership::upstream_status::lost &&
@@ -221,9 +219,9 @@
         }
         const auto health = it->second.health;
         if (row.condition == ownership::upstream_status::joining) {
-            it->second.joined_at = now; // the ramp starts when the planner makes it active
+            it->second.joined_at = now; // the cold-start ramp begins when it becomes active
         }
-        if (row.condition != ownership::upstream_status::lost && health == 2) {
+        if (row.condition != ownership::upstream_status::lost && health == 2) { // reported_health::failed
             spdlog::warn("upstream lost upstream={} gate={}", row.name, row.gate);
             propose(ownership::set_condition{row.name, row.incarnation, ownership::upstream_status::lost});
         }
@@ -294,8 +292,8 @@
         done(known);
         return;
     }
-    // No shard is at home here until the global group says so: the first index past the last shard marks
-    // that.
+    // No shard is placed in this data centre until the global group decides so. An empty set would mean all
+    // shards, so the set holds only the index after the last shard.
     change.shards = shards;
     change.placed_shards = {shards};
     group_->propose(ownership::encode(ownership::command(change)),
@@ -325,8 +323,8 @@
     if (active_mirror_ == 0 && now >= next_mirror_ && mirrored_version_ < rows->version) {
         start_mirror(rows, now);
     }
-    // Without an answer in time the data centre is cut off from the global group and goes on with its own
-    // group alone; the mirror is retried until it has caught up.
+    // Without an answer in time, the data centre counts as cut off from the global group and continues with
+    // its own group alone. The mirror write is retried until it succeeds.
     if (newer_than_published(*rows) && (active_mirror_ == 0 || now - mirror_since_ > mirror_wait)) {
         publish(rows);
     }
@@ -342,7 +340,7 @@
     mirror.table = ownership::encode(*rows);
     global_.propose(encode_mirror(mirror), [this, rows, serial = active_mirror_](const auto& result) {
         if (active_mirror_ != serial) {
-            return; // of an earlier leadership
+            return; // started during an earlier leadership
         }
         active_mirror_ = 0;
         if (!result) {
--- a/src/app/instance/data_center_tier.cpp
+++ b/src/app/instance/data_center_tier.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Two renewals may be lost before instances count as ungrouped and ask the global group for a new generation.
+// Tolerates the loss of two renewals before an instance asks the global group for a new generation.
 constexpr duration ungrouped_after = std::chrono::milliseconds(1500);
-// Finds the new leader within a few requests; a refused request costs less than a missed renewal.
+// Short, so that a new leader is found before the next renewal is due; a refused request is cheap.
 constexpr duration lease_retry = std::chrono::milliseconds(25);
 
-// Below every version, also that of a table that a new generation took over from the mirror.
+// Lower than every version; 0 is the version of a table that a new generation restored from the mirror.
 constexpr std::int64_t no_table_version = -1;
 
 } // namespace
@@ -26,7 +26,7 @@
     }
     auto rows = ownership::decode_table(mirrored_table);
     rows.generation = generation;
-    rows.version = 0; // versions are indexes of the group's log, and the log of a new generation is empty
+    rows.version = 0; // versions are log indexes, and the log of a new generation is empty
     state_ = std::make_unique<ownership::assignment_state>(std::move(rows));
 }
 
@@ -62,7 +62,7 @@
     }
     leader_.clear();
     first_granted_ = {};
-    last_granted_ = steady_now(); // the new group gets time for its first election
+    last_granted_ = steady_now(); // allows time for the new group's first election
     was_leader_ = false;
     if (group_) {
         group_->abandon_proposals();
@@ -137,7 +137,7 @@
     if (!leader_.empty() && (leader_ == shared_.settings.name || shared_.link_to(leader_) != nullptr)) {
         return leader_;
     }
-    // The voters of the formation may all have been replaced since.
+    // All voters of the formation may have been replaced since, so the other instances are asked as well.
     auto candidates = voters_;
     for (const auto& [name, it] : shared_.instances) {
         if (it.data_center == shared_.settings.data_center &&
@@ -149,7 +149,7 @@
 }
 
 std::string data_center_tier::known_leader() const {
-    // A voter hears of a new leader from the group itself, before any lease is granted.
+    // A voter learns of a new leader from the consensus group before the first lease is granted.
     const auto elected = group_ ? group_->node().leader() : std::nullopt;
     return elected ? elected->name : leader_;
 }
@@ -205,7 +205,7 @@
         return;
     }
     if (!reply.granted) {
-        // A leader that names itself waits for the support of more instances, so it is asked again.
+        // A leader that names itself has not had lease requests from a majority yet, so it is asked again.
         leader_ = reply.leader;
         next_lease_request_ = std::min(next_lease_request_, steady_now() + lease_retry);
         return;
@@ -215,7 +215,7 @@
     if (first_granted_ == time_point{}) {
         first_granted_ = last_granted_;
     }
-    // The lease counts from the moment the request was sent, so it ends before the leader's record of it.
+    // Counted from the sending of the request, so the lease ends here before the leader considers it ended.
     lease_end_ = std::max(lease_end_, sent + duration(reply.lease_us));
     callbacks_.on_lease(lease_end_);
 }
