--- a/src/app/instance/ledger_leader.cpp
+++ b/src/app/instance/ledger_leader.cpp
@@ -1,5 +1,5 @@
-// Duties of the leader of a data centre group for the ledger: replicas that have joined, and groups that lost
-// a majority.
+// Ledger duties of a data centre group's leader: admitting replicas that have joined, and resetting ledger
+// groups that lost a majority.
 #include "app/instance/data_center_tier.h"
 
 #include "app/instance/replica_name.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Longer than a pause that an instance survives with its windows; replacing a replica copies all of them.
+// Longer than a pause from which an instance returns with its windows; a replacement has to copy all of them.
 constexpr duration replica_lost_after = std::chrono::seconds(2);
 constexpr std::size_t ledger_replicas = 3;
 
@@ -34,7 +34,7 @@
 }
 
 void data_center_tier::plan_ledger_groups(const ownership::table& rows, time_point now) {
-    // A new leader does not know yet which replicas are alive.
+    // A new leader does not know which replicas are live until they have sent lease requests.
     if (now - leader_since_ < replica_lost_after) {
         return;
     }
@@ -54,8 +54,9 @@
     std::copy_if(group.replicas.begin(), group.replicas.end(), std::back_inserter(next.replicas), is_live);
     next.reset_ms = group.reset_ms;
     if (!group.replicas.empty() && next.replicas.size() < group.replicas.size() / 2 + 1) {
-        // A majority of the windows is lost: requests that began before are answered `unknown` from here on.
-        spdlog::warn("ledger group begins anew group={} live_replicas={}", number, next.replicas.size());
+        // A majority of the windows is lost: requests that began earlier are answered `unknown` from now on.
+        spdlog::warn("ledger group reset after losing its majority group={} live_replicas={}", number,
+                     next.replicas.size());
         next.reset_ms = wall_clock_ms();
         for (const auto& it : live) {
             if (next.replicas.size() < ledger_replicas &&
@@ -69,7 +70,7 @@
         return std::nullopt;
     }
     if (next.replicas.size() >= ledger_replicas) {
-        return next; // the lost replica is back, so nobody needs to join
+        return next; // the lost replica has returned, so no other needs to join
     }
     for (const auto& it : group.joining) {
         const auto tracked = instances_.find(instance_of(it).name);
@@ -79,7 +80,7 @@
             next.replicas.push_back(it);
         }
     }
-    // Also a group that was formed with fewer instances grows in this way.
+    // A group that was formed with too few instances grows in the same way.
     return next.replicas.size() == ledger_replicas ? std::optional(next) : std::nullopt;
 }
 
