--- a/src/app/instance/entry.cpp
+++ b/src/app/instance/entry.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Wait between attempts while a key has no owner or a gate is being replaced; a tenth of the 100 ms that
+// Delay between attempts while a key has no owner or its gate is being replaced: a tenth of the 100 ms that
 // assignment and grant may take after a loss.
 constexpr duration reroute_delay = std::chrono::milliseconds(10);
-// The gate answers at the deadline; the margin covers its way back.
+// The gate answers by the deadline; the margin covers the transfer of the answer.
 constexpr duration reply_margin = std::chrono::milliseconds(50);
 constexpr std::size_t max_idempotency_key = 128;
 
@@ -55,7 +55,8 @@
 }
 
 void entry::handle(const http_request& request, http_reply reply) {
-    // The entry cannot read the ledger, and an earlier send of the key may have run through another instance.
+    // The entry cannot read the ledger, and an earlier request with this key may have run through another
+    // instance, so `not-run` is claimed only for requests without a key.
     const auto key = request.header("Idempotency-Key");
     const auto claim = key.empty() ? outcome::not_run : outcome::unknown;
     const auto refuse = [&](refusal reason, duration retry_after = duration{0}) {
@@ -165,7 +166,7 @@
         on_response(it, transport::decode<wire::ForwardResponse>(received.answer->payload));
         return;
     }
-    // The ledger makes it safe to forward at-most-once work again: a gate that finds the key begun answers
+    // Forwarding an at-most-once request again is safe: a gate that finds its key begun in the ledger answers
     // `unknown`.
     it->may_have_run = it->may_have_run || received.failure != transport::link_failure::not_sent;
     it->last_refusal = it->may_have_run ? refusal::gate_lost : refusal::gate_unreachable;
@@ -189,8 +190,8 @@
 
 void entry::on_response(const request_ptr& it, const wire::ForwardResponse& response) {
     if (should_retry(*it, response)) {
-        // A gate that lost its route did not and will not run at-most-once work; it only cannot tell whether
-        // another gate did, and the next gate reads that in the ledger.
+        // A gate that answers stale_route has not run and will not run an at-most-once request. Whether
+        // another gate has is decided by the next gate, which reads the ledger.
         const bool passed_on =
             it->request.at_most_once && static_cast<refusal>(response.reason) == refusal::stale_route;
         it->may_have_run =
@@ -214,7 +215,7 @@
 void entry::finish(const request_ptr& it, const wire::ForwardResponse& response) {
     wire::ForwardResponse answer = response;
     if (it->may_have_run && static_cast<outcome>(answer.outcome) == outcome::not_run) {
-        // A lost attempt may have run, so `not-run` cannot be claimed any more.
+        // An earlier attempt may have run, so `not-run` cannot be claimed.
         answer.outcome = static_cast<std::int8_t>(outcome::unknown);
     }
     count_response(*it, answer);
--- a/src/app/instance/entry.h
+++ b/src/app/instance/entry.h
@@ -14,19 +14,19 @@
 
 namespace kingcupseam::app {
 
-/// The entry role of an instance: callers' requests are matched to a rule and forwarded to the gate of their
-/// key's owner. Lives on the entry thread.
+/// The entry role of an instance: accepts callers' requests, matches them to a profile's rules and forwards
+/// them to the gate of the key's owner. Runs on the entry thread.
 class entry {
 public:
-    /// Hands a request to the gate role of this instance; the reply comes back on the entry thread.
+    /// Passes a request to the gate role of this instance; the reply is called on the entry thread.
     using local_gate = std::function<void(const wire::ForwardRequest&, gate_reply)>;
 
     entry(asio::io_context& context, const settings::instance_settings& settings, std::uint64_t incarnation,
           const view_holder& views, metrics::registry& registry, local_gate gate);
 
-    /// Dials the gates of a new view, so that no request waits for a connection.
+    /// Connects to the gates of a new view, so that no request waits for a connection.
     void on_view_changed();
-    /// Refuses new requests; those in progress go on.
+    /// Refuses new requests; those in flight continue.
     void begin_shutdown();
     std::size_t in_flight() const noexcept { return in_flight_; }
     void stop();
