--- a/src/app/instance/gate.cpp
+++ b/src/app/instance/gate.cpp
@@ -83,8 +83,8 @@
             result.upstreams.push_back(it->report(now));
         }
     }
-    // Grants that this instance no longer renews: the leader waits for their end before a key gets its next
-    // owner.
+    // Grants that this instance no longer renews: the leader waits for their end before it assigns the keys
+    // to another owner.
     for (const auto& it : retiring_) {
         result.upstreams.push_back(it->report(now));
     }
@@ -141,7 +141,7 @@
 }
 
 void gate::dial_ledger_replicas(const routing_view& view) {
-    // Without open links the first request of a shard would find no majority of its ledger replicas.
+    // Without open links, the first request of a shard would not reach a majority of its ledger replicas.
     for (const auto& [name, it] : view.instances) {
         if (name != settings_.name && it.data_center == settings_.data_center) {
             mesh_.link_to(name, traffic_address(it.address));
@@ -172,7 +172,7 @@
 void gate::submit(const wire::ForwardRequest& request, gate_reply reply) {
     auto* const target = find(request.upstream);
     if (target == nullptr) {
-        // This instance cannot read the ledger of a key that it does not gate.
+        // This instance cannot read the ledger of a key whose gate it is not.
         const auto claim = request.at_most_once ? outcome::unknown : outcome::not_run;
         reply(refusal_response(claim, refusal::stale_route));
         return;
--- a/src/app/instance/gate.h
+++ b/src/app/instance/gate.h
@@ -11,21 +11,21 @@
 
 namespace kingcupseam::app {
 
-/// The gate role of an instance: all upstreams that it gates, its ledger replica and the traffic listener.
-/// Lives on the gate thread.
+/// The gate role of an instance: the upstreams to which it dispatches, its ledger replicas and the traffic
+/// listener. Runs on the gate thread.
 class gate {
 public:
     gate(asio::io_context& context, const settings::instance_settings& settings, std::uint64_t incarnation,
          const view_holder& views, metrics::registry& registry);
 
-    /// Forwards a request from this instance's entry or from another instance.
+    /// Queues a request from this instance's entry or from another instance at its upstream's gate.
     void submit(const wire::ForwardRequest& request, gate_reply reply);
     void on_view_changed();
-    /// @param end until when this instance may act as a gate; set by the control thread
+    /// Sets the end of this instance's gate lease; called by the control thread.
     void set_lease_end(time_point end) noexcept { lease_end_.store(end.time_since_epoch().count()); }
-    /// Called every reporting interval with the state of all gated upstreams.
+    /// Sets the observer of the reports on all gated upstreams, sent on every tick and after a new view.
     void on_report(std::function<void(gate_report)> observer) { observer_ = std::move(observer); }
-    /// True when nothing waits or is in flight.
+    /// True if no request is queued or in flight.
     bool idle() const;
     void stop();
 
@@ -35,9 +35,11 @@
     void report(time_point now);
     void on_frame(const std::shared_ptr<transport::connection>& from, const transport::frame& received);
     void on_forward(const std::shared_ptr<transport::connection>& from, const transport::frame& received);
-    /// Keeps the rows of upstreams that this instance dispatches to without being their gate.
+    /// Updates the rows of upstreams to which this instance dispatches without being their gate (direct
+    /// routing).
     void refresh_direct_gates(const routing_view& view);
     void dial_ledger_replicas(const routing_view& view);
+    /// Sends the changed entries to all instances of this data centre.
     void broadcast_poison_requests(const std::vector<admission::poison_request_list::record>& changed);
     upstream_gate* find(const std::string& upstream);
     upstream_gate* create_direct_gate(const std::string& upstream);
--- a/src/app/instance/gate_request.h
+++ b/src/app/instance/gate_request.h
@@ -14,21 +14,21 @@
 
 using gate_reply = std::function<void(const wire::ForwardResponse&)>;
 
-/// One request at its gate, from its arrival to its answer.
+/// A request at its gate, from arrival to answer.
 struct gate_request {
     wire::ForwardRequest wire;
     time_point arrived;
     time_point deadline;
-    std::vector<gate_reply> waiters; ///< the caller, and callers that resent the same idempotency key
-    std::string digest;     ///< identifies the content, for crash suspects and reused idempotency keys
+    std::vector<gate_reply> waiters; ///< of the caller and of callers that resent the same idempotency key
+    std::string digest;     ///< of the content, to detect poison requests and reused idempotency keys
     std::string attempt_id; ///< Kingcupseam-Request-Id of the current attempt
     std::uint64_t ticket = 0;
-    std::uint64_t client_call = 0; ///< of the HTTP client, while the attempt is in flight
+    std::uint64_t client_call = 0; ///< number of the HTTP client's call, while the attempt is in flight
     time_point sent;
     std::uint32_t attempts = 0;
     bool in_flight = false;
     bool may_have_run = false; ///< an earlier attempt of an idempotent request may have run
-    bool exclusive = false;    ///< a crash suspect: runs alone
+    bool exclusive = false;    ///< possible poison request: dispatched alone
 
     rank priority() const { return static_cast<rank>(wire.rank); }
     void answer(const wire::ForwardResponse& response) {
