--- a/src/app/instance/entry.cpp
+++ b/src/app/instance/entry.cpp
@@ -192,10 +192,10 @@
     if (should_retry(*it, response)) {
         // A gate that answers stale_route has not run and will not run an at-most-once request. Whether
         // another gate has is decided by the next gate, which reads the ledger.
-        const bool passed_on =
+        const bool is_stale_route =
             it->request.at_most_once && static_cast<refusal>(response.reason) == refusal::stale_route;
-        it->may_have_run =
-            it->may_have_run || (!passed_on && static_cast<outcome>(response.outcome) == outcome::unknown);
+        it->may_have_run = it->may_have_run ||
+                           (!is_stale_route && static_cast<outcome>(response.outcome) == outcome::unknown);
         it->last_refusal = static_cast<refusal>(response.reason);
         schedule_reroute(it);
         return;
