--- a/src/app/instance/global_leader.cpp
+++ b/src/app/instance/global_leader.cpp
@@ -1,5 +1,5 @@
-// Duties of the leader of the global group: formation of data centre groups, homes of shards, replacement of
-// voters.
+// Duties of the global group's leader: forming data centre groups, placing shards in data centres, and
+// replacing voters.
 #include "app/instance/global_tier.h"
 
 #include <kingcupseam/ownership.h>
@@ -15,11 +15,12 @@
 
 constexpr std::size_t data_center_voters = 3;
 constexpr duration report_lifetime = std::chrono::seconds(1);
-// Instances are asked for disks only while a voter is missing.
+// Instances are asked whether they have a disk only while a voter is missing.
 constexpr duration durable_poll_interval = std::chrono::milliseconds(300);
-// Longer than a gate lease (600 ms) with its drift margin: every lease of the former generation has ended.
+// Longer than a gate lease (600 ms) with its drift margin, so that all leases of the former generation have
+// ended.
 constexpr duration reformation_wait = std::chrono::milliseconds(1200);
-// Gives all data centres time to register their upstreams before shards are spread over them.
+// Time for all data centres to register their upstreams before shards are placed in them.
 constexpr duration placement_wait = std::chrono::milliseconds(1500);
 
 std::map<std::string, std::uint32_t>
@@ -36,7 +37,7 @@
     return slots;
 }
 
-/// Spreads shards in proportion to the slots, interleaved.
+/// Distributes shards over data centres in proportion to their slots, interleaved.
 wire::ServiceHomes spread_shards(const std::string& service, std::uint32_t shards,
                                  const std::map<std::string, std::uint32_t>& slots) {
     wire::ServiceHomes result;
@@ -112,7 +113,7 @@
     std::size_t reports = 0;
     std::size_t size = 1;
     for (const auto& [name, it] : ungrouped_) {
-        // An instance that has not heard of the current generation yet may still join it.
+        // An instance that does not know the current generation yet may still join it.
         if (it.instance.data_center != data_center ||
             it.generation != static_cast<std::uint64_t>(generation)) {
             continue;
@@ -129,7 +130,7 @@
             formation.voters.push_back(std::move(voter));
         }
     }
-    // The first formation waits for every configured instance, so that the group starts with all its voters.
+    // The first formation waits for as many instances as the group has voters, so that it starts complete.
     const bool enough = generation == 0 ? reports >= std::min(size, data_center_voters) : reports > size / 2;
     return enough ? std::optional(std::move(formation)) : std::nullopt;
 }
@@ -151,7 +152,7 @@
             if (now - first_seen < placement_wait) {
                 continue;
             }
-            spdlog::info("spreading shards service={} data_centers={}", service.name, slots.size());
+            spdlog::info("placing shards service={} data_centers={}", service.name, slots.size());
             proposal_in_progress_ = true;
             group_->propose(encode_placement(spread_shards(service.name, service.shards, slots)),
                             [this](const auto&) { proposal_in_progress_ = false; });
@@ -162,12 +163,12 @@
 
 bool global_tier::voter_missing(const consensus::replacement_view& view, std::size_t wanted,
                                 time_point now) const {
-    const auto heard = std::count_if(view.statuses.begin(), view.statuses.end(), [&](const auto& it) {
+    const auto reachable = std::count_if(view.statuses.begin(), view.statuses.end(), [&](const auto& it) {
         const auto& voters = view.members.voters;
         return now - it.last_contact < report_lifetime &&
                std::find(voters.begin(), voters.end(), it.member) != voters.end();
     });
-    return static_cast<std::size_t>(heard) < wanted;
+    return static_cast<std::size_t>(reachable) < wanted;
 }
 
 void global_tier::poll_durable_instances(time_point now) {
@@ -194,9 +195,10 @@
 }
 
 std::vector<consensus::member_id> global_tier::durable_spares(time_point now) const {
-    // The name of a voter with another identity has lost its disk; it takes its own place again first.
+    // An instance with the name of a voter but another identity has lost its disk; it is preferred, to take
+    // its own place again.
     const auto& voters = group_->node().members().voters;
-    const auto former = [&](const consensus::member_id& id) {
+    const auto has_voter_name = [&](const consensus::member_id& id) {
         return std::any_of(voters.begin(), voters.end(), [&](const auto& it) { return it.name == id.name; });
     };
     std::vector<consensus::member_id> spares;
@@ -205,7 +207,7 @@
             spares.push_back(it.first);
         }
     }
-    std::stable_partition(spares.begin(), spares.end(), former);
+    std::stable_partition(spares.begin(), spares.end(), has_voter_name);
     return spares;
 }
 
--- a/src/app/instance/global_state.cpp
+++ b/src/app/instance/global_state.cpp
@@ -48,7 +48,7 @@
 void global_state::apply_formation(const wire::GroupFormation& formation, std::uint64_t index) {
     auto& current = visible_.formations[formation.data_center];
     if (formation.generation != current.generation + 1) {
-        return; // two leaders proposed the same step; the first one counts
+        return; // two leaders proposed the same generation; the first proposal is in force
     }
     current = formation;
     current.table.clear();
@@ -70,7 +70,7 @@
 void global_state::apply_mirror(const wire::TableMirror& mirror) {
     const auto formation = visible_.formations.find(mirror.data_center);
     if (formation == visible_.formations.end() || formation->second.generation != mirror.generation) {
-        return; // a group that has been replaced
+        return; // sent by a group that has been replaced
     }
     auto& current = mirrors_[mirror.data_center];
     if (mirror.generation > current.generation || mirror.version > current.version) {
--- a/src/app/instance/global_state.h
+++ b/src/app/instance/global_state.h
@@ -9,14 +9,16 @@
 
 namespace kingcupseam::app {
 
-/// State machine of the global group: profiles, homes, formations of data centre groups and mirrored tables.
+/// Replicated state machine of the global group: profiles, shard placements, formations of data centre groups
+/// and mirrored routing tables.
 class global_state final : public state_machine {
 public:
     std::string apply(const std::string& command, std::uint64_t index) override;
     std::string save() const override;
     void restore(const std::string& saved) override;
 
-    /// What instances need: everything but the mirrored tables. Its version rises with every visible change.
+    /// The part that all instances receive: everything but the mirrored tables. Its version rises with each
+    /// change of it.
     const wire::GlobalState& visible() const noexcept { return visible_; }
     const std::map<std::string, wire::TableMirror>& mirrors() const noexcept { return mirrors_; }
     std::uint64_t version() const noexcept { return static_cast<std::uint64_t>(visible_.version); }
--- a/src/app/instance/global_tier.cpp
+++ b/src/app/instance/global_tier.cpp
@@ -11,8 +11,8 @@
 constexpr duration leader_duty_interval = std::chrono::milliseconds(100);
 constexpr duration voter_poll_interval = std::chrono::milliseconds(200);
 constexpr duration command_timeout = std::chrono::milliseconds(800);
-// An instance that finds no leader serves with the highest version that it found by then: a data centre that
-// is cut off must go on after a restart.
+// An instance that finds no leader in this time serves with the newest state it has received, so that a data
+// centre without contact to the others can serve after a restart.
 constexpr duration authoritative_wait = std::chrono::seconds(3);
 
 } // namespace
@@ -110,7 +110,7 @@
     const auto& voters = shared_.settings.global_voters;
     const bool first =
         !voters.empty() && *std::min_element(voters.begin(), voters.end()) == shared_.settings.name;
-    // A voter that lost its disk also reports an empty folder, but then another one reports a formed group.
+    // A voter that lost its disk also reports an empty folder, but then another voter reports a formed group.
     if (!first || empty_voters_.size() != voters.size() || group_->store().last_index() != 0) {
         return;
     }
@@ -149,9 +149,9 @@
     for (const auto& it : reply.instances) {
         shared_.update_instance(from_wire(it));
     }
-    // A spare with a disk has a group, but is told of the leader only once it is a member.
-    const bool told = group_ && group_->node().leader().has_value();
-    if (!reply.leader.empty() && !told) {
+    // An instance with a disk that is not a member has a group object, which does not know the leader.
+    const bool group_knows_leader = group_ && group_->node().leader().has_value();
+    if (!reply.leader.empty() && !group_knows_leader) {
         leader_ = reply.leader;
     }
     if (!reply.state.empty() && reply.version > known_.version) {
--- a/src/app/instance/global_tier.h
+++ b/src/app/instance/global_tier.h
@@ -13,8 +13,8 @@
 
 namespace kingcupseam::app {
 
-/// This instance's part in the global group: voter and leader duties on instances with a disk, and on every
-/// instance the newest state that it knows and the way to the leader.
+/// This instance's part in the global group. Instances with a disk can be voters and leader; every instance
+/// keeps the newest global state it has received and forwards commands to the leader.
 class global_tier {
 public:
     using state_observer = std::function<void(const wire::GlobalState&)>;
@@ -25,18 +25,18 @@
     void on_consensus_message(const consensus::message& received);
     wire::VoterStatusReply on_voter_status() const;
     wire::StateReply on_state_request(const wire::StateRequest& request, time_point now);
-    /// Merges a reply of another instance; an older version never replaces a newer one.
+    /// Applies the reply of another instance unless its state is older than the known one.
     void on_state_reply(const wire::StateReply& reply, time_point now);
 
-    /// Commits a command through the leader, wherever it is.
+    /// Commits a command through the leader, on this or another instance.
     void propose(const std::string& command, replicated_group::on_result done);
-    /// Command of another instance: answered only by the leader.
+    /// Handles a command of another instance; only the leader commits it.
     void on_command(const wire::CommandRequest& request, std::function<void(wire::CommandReply)> done);
 
     const wire::GlobalState& state() const noexcept { return known_; }
     const std::string& leader() const noexcept { return leader_; }
     bool leads() const { return group_ && group_->leads(); }
-    /// True once the state is known to be current, or once the wait for an authoritative answer ran out.
+    /// True once the leader has confirmed the state as current, or the wait for its answer has ended.
     bool ready() const noexcept { return ready_; }
     const replicated_group* group() const noexcept { return group_.get(); }
 
@@ -69,12 +69,12 @@
     std::unique_ptr<replicated_group> group_;
     wire::GlobalState known_;
     std::string leader_;
-    std::map<std::string, std::int64_t>
-        empty_voters_; ///< identities of initial voters that reported an empty folder
+    /// Identities of initial voters that reported an empty data folder.
+    std::map<std::string, std::int64_t> empty_voters_;
     std::map<std::string, ungrouped_report> ungrouped_;
     std::map<std::string, time_point> service_first_seen_;
-    std::map<std::string, std::pair<consensus::member_id, time_point>>
-        durable_instances_; ///< instances that reported a disk, and when
+    /// Instances that reported a data folder, and the time of the report.
+    std::map<std::string, std::pair<consensus::member_id, time_point>> durable_instances_;
     time_point next_durable_poll_;
     time_point started_;
     time_point next_leader_duties_;
