--- a/src/app/instance/routing_view.h
+++ b/src/app/instance/routing_view.h
@@ -12,8 +12,8 @@
 
 namespace kingcupseam::app {
 
-/// The port after the control port carries forwarded requests and the ledger, so that control frames never
-/// wait behind large bodies.
+/// Address for forwarded requests and ledger frames: the port after the control port. On their own port they
+/// do not delay control frames behind large bodies.
 endpoint_address traffic_address(const endpoint_address& control_address);
 
 struct instance_info {
@@ -24,18 +24,18 @@
     auto operator<=>(const instance_info&) const = default;
 };
 
-/// Home data centre of each shard of one service.
+/// Data centre in which each shard of one service is placed.
 struct service_placement {
     std::vector<std::string> data_centers;
-    std::vector<std::int16_t>
-        data_center_indexes; ///< index into data_centers; -1 while the shard has no home
+    /// Index into data_centers by shard; -1 while the shard is not placed.
+    std::vector<std::int16_t> data_center_indexes;
     bool operator==(const service_placement&) const = default;
 
-    /// Empty while the shard has no home.
+    /// Empty while the shard is not placed.
     const std::string& data_center_of(std::uint32_t shard) const;
 };
 
-/// What the traffic threads know of the control state; immutable once published.
+/// The control thread's state as the entry and gate threads use it; immutable once published.
 struct routing_view {
     std::string self;
     std::string data_center;
@@ -44,14 +44,14 @@
     std::shared_ptr<const profile::rule_index> rules;
     std::map<std::string, instance_info> instances;
 
-    /// Row of the upstream that owns the key in its home data centre; null while there is none.
+    /// Row of the upstream that owns the key in the data centre of its shard; null if there is none.
     const ownership::upstream_row* find_owner(const std::string& service, std::uint32_t shard,
                                               const std::string& key) const;
-    /// Table of this instance's data centre; null before the first one arrived.
+    /// Table of this instance's data centre; null until the first one has arrived.
     const ownership::table* local_table() const;
 };
 
-/// Hands the current view from the control thread to the traffic threads.
+/// Passes the current view from the control thread to the entry and gate threads.
 class view_holder {
 public:
     std::shared_ptr<const routing_view> load() const { return view_.load(std::memory_order_acquire); }
