--- a/src/app/instance/ledger_host.cpp
+++ b/src/app/instance/ledger_host.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr duration operation_timeout = std::chrono::milliseconds(200);
-// Five times the 2 s within which an accepted profile is in force on all reachable instances.
+// Five times the 2 s within which an accepted profile comes into force on all reachable instances.
 constexpr duration profile_propagation_time = std::chrono::seconds(10);
 
 wire::LedgerRecord to_wire(const ledger::record& source) {
@@ -129,7 +129,7 @@
     const auto view = views_.load();
     const auto it = view->instances.find(id.name);
     if (it == view->instances.end() || it->second.incarnation != id.incarnation) {
-        return nullptr; // it has restarted and lost its windows
+        return nullptr; // the instance has restarted and lost its windows
     }
     return &mesh_.link_to(id.name, traffic_address(it->second.address));
 }
--- a/src/app/instance/ledger_host.h
+++ b/src/app/instance/ledger_host.h
@@ -16,19 +16,19 @@
 
 ledger::record record_from_wire(const wire::LedgerRecord& source);
 
-/// The ledger on the gate thread: this instance's replica, and the writer that its gates share.
+/// The ledger on the gate thread: this instance's replicas, and the writer that its gates share.
 class ledger_host {
 public:
     ledger_host(const instance_id& self, peer_mesh& mesh, const view_holder& views);
 
-    /// Follows the ledger groups of a new routing table: a replica of a new group starts empty, one that
-    /// joins a group copies the windows of the others first.
+    /// Applies the ledger groups of a new routing table. A replica of a new group starts empty; a replica
+    /// that joins an existing group first copies the windows of the others.
     void on_view_changed(const routing_view& view);
-    /// Groups that this instance joins and whose windows it holds.
+    /// Groups that this instance joins and whose windows it has installed.
     std::set<std::uint32_t> installed_groups() const;
 
     void begin(const ledger::record& wanted, const ledger::writer::on_decision& done);
-    /// Reports what the window says of a key; see ledger::writer::check().
+    /// Looks a key up in the window without recording anything; see ledger::writer::check().
     void check(const ledger::record& wanted, const ledger::writer::on_decision& done);
     void finish(const ledger::record& result);
     void abandon(const std::string& service, std::uint32_t shard, const std::string& key);
@@ -37,13 +37,13 @@
     wire::LedgerRecordReply on_record(const wire::LedgerRecord& received);
     wire::LedgerSealReply on_fence(const wire::LedgerSeal& received);
     void tick(time_point now);
-    /// Takes the retention from the accepted profiles: the longest of them for all windows.
+    /// Sets the retention of all windows to the longest one of the accepted profiles.
     void update_retention(const routing_view& view, time_point now);
-    /// True when the time in the key is older than what the windows still hold for the service.
+    /// True if the key was created before the period that the windows cover for the service.
     bool expired(const std::string& service, const std::string& idempotency_key, time_point now) const;
 
 private:
-    /// The copy of the windows of one group from its live replicas.
+    /// A copy in progress of one group's windows from its live replicas.
     struct window_copy {
         std::uint32_t group = 0;
         std::size_t outstanding = 0;
@@ -53,6 +53,7 @@
 
     std::optional<std::uint32_t> group_of(std::uint32_t shard) const;
     ledger::replica* local_replica(std::uint32_t shard);
+    /// True if the key may have begun before its ledger group was last reset.
     bool may_predate_reset(const ledger::record& wanted) const;
     void start_window_copy(time_point now);
     void request_window(const std::string& replica, const std::string& service, std::uint32_t shard,
--- a/src/app/instance/ledger_join.cpp
+++ b/src/app/instance/ledger_join.cpp
@@ -1,4 +1,4 @@
-// Membership of this instance in ledger groups, and the copy of windows when it joins one.
+// Membership of this instance in ledger groups, and copying of the windows of a group that it joins.
 #include "app/instance/ledger_host.h"
 
 #include "app/instance/replica_name.h"
@@ -11,7 +11,7 @@
 
 constexpr duration fence_timeout = std::chrono::milliseconds(500);
 constexpr duration window_copy_retry = std::chrono::milliseconds(500);
-// Clocks of callers may differ from the leader's by this much when a group begins anew.
+// Tolerated difference between callers' clocks and the leader's, whose time marks the reset of a group.
 constexpr std::int64_t clock_skew_ms = 2000;
 
 bool contains(const std::vector<std::string>& names, const std::string& name) {
@@ -26,8 +26,8 @@
     return ledger::replica(options, start);
 }
 
-/// Epoch of the gate that writes to the shard; a shard without an owner gets a higher one with its next
-/// owner.
+/// Epoch of the gate that writes to the shard. The next owner of a shard without one gets a higher epoch than
+/// the one returned here.
 std::uint64_t writer_epoch(const ownership::table& rows, const ownership::shard_row& row) {
     return row.owner < rows.upstreams.size() ? rows.upstreams[row.owner].epoch
                                              : ownership::make_epoch(rows.generation, rows.version);
@@ -46,7 +46,7 @@
         const bool member = contains(group.replicas, self_);
         const auto it = replicas_.find(n);
         if (member) {
-            // A member that did not join belongs to a group that is new or begins anew.
+            // A member that did not join this way belongs to a group that is new or has been reset.
             if (it == replicas_.end() || !it->second.ready()) {
                 replicas_.insert_or_assign(
                     n, new_replica(retention_, rows->ledger_groups.size(), ledger::replica_start::new_group));
@@ -99,7 +99,7 @@
     if (const auto created = ledger::creation_time(wanted.key)) {
         return *created < reset + std::chrono::milliseconds(clock_skew_ms);
     }
-    // A key without its time may be as old as the retention.
+    // A key that does not contain its creation time may be as old as the retention.
     return std::chrono::system_clock::now() < reset + retention_;
 }
 
@@ -128,7 +128,8 @@
             }
         }
     }
-    // A record of a majority may be left at one survivor only, so the windows of both are needed.
+    // A record that a majority accepted may be held by only one of the remaining replicas, so the windows of
+    // a majority are needed.
     window_copy_->failed = sources.size() < rows->ledger_groups[*group].replicas.size() / 2 + 1;
     if (window_copy_->outstanding == 0) {
         window_copy_.reset();
@@ -175,7 +176,7 @@
     if (const auto it = replicas_.find(ended.group);
         !ended.failed && it != replicas_.end() && joining_.count(ended.group) != 0) {
         it->second.install(ended.windows, steady_now());
-        next_window_copy_ = steady_now(); // the next group without a wait
+        next_window_copy_ = steady_now(); // the next group is copied without delay
     }
 }
 
