--- a/src/app/instance/replicated_group.cpp
+++ b/src/app/instance/replicated_group.cpp
@@ -10,7 +10,8 @@
 constexpr std::uint64_t entries_before_snapshot = 1000;
 constexpr duration proposal_timeout = std::chrono::seconds(2);
 
-/// Restores the machine before the node can deliver entries that follow the snapshot.
+/// Restores the state machine from the stored snapshot before the node delivers the entries after it, and
+/// returns @p settings unchanged.
 consensus::options restore_snapshot(const consensus::options& settings, const storage::log_store& store,
                                     state_machine& machine, std::uint64_t& applied) {
     if (const auto saved = store.load_snapshot(); saved && saved->index > 0) {
@@ -44,7 +45,7 @@
     consensus::effects effects;
     try {
         const auto index = node_.propose(std::move(command), steady_now(), effects);
-        // A proposal of an earlier term may still wait at this index: its entry was replaced.
+        // A proposal of an earlier term may be pending at this index; its entry has been replaced.
         const auto replaced = std::exchange(proposals_[index], {node_.term(), steady_now(), std::move(done)});
         if (replaced.done) {
             replaced.done(std::nullopt);
@@ -70,8 +71,8 @@
 }
 
 bool replicated_group::leads() const {
-    // Until an entry of its own term is committed, a new leader does not know which older entries are, and
-    // its state machine may be behind.
+    // Until an entry of its own term is committed, a new leader does not know which older entries are
+    // committed, and its state machine may lack some of them.
     return node_.current_role() == consensus::role::leader && steady_now() < node_.leadership_valid_until() &&
            store_->term_at(node_.commit_index()) == node_.term();
 }
@@ -100,7 +101,7 @@
     if (it == proposals_.end()) {
         return;
     }
-    // Another leader's entry took the index when the terms differ: the proposal was lost.
+    // If the terms differ, another leader's entry has this index, and the proposal was lost.
     const bool own = it->second.term == committed.term;
     const auto done = std::move(it->second.done);
     proposals_.erase(it);
--- a/src/app/instance/replicated_group.h
+++ b/src/app/instance/replicated_group.h
@@ -11,7 +11,7 @@
 
 namespace kingcupseam::app {
 
-/// Deterministic state machine behind a replicated log.
+/// Deterministic state machine that applies the commands of a replicated log.
 class state_machine {
 public:
     state_machine() = default;
@@ -25,12 +25,12 @@
     virtual void restore(const std::string& saved) = 0;
 };
 
-/// One member of a consensus group together with its log and state machine.
+/// A member of a consensus group with its log and state machine.
 class replicated_group {
 public:
     using sender = std::function<void(const consensus::message&)>;
-    /// The result of the state machine, or empty when the command was not committed as far as this member
-    /// knows.
+    /// Called with the state machine's result, or empty if this member does not know the command to be
+    /// committed; it may still be committed then.
     using on_result = std::function<void(std::optional<std::string>)>;
 
     replicated_group(const consensus::options& settings, std::unique_ptr<storage::log_store> store,
@@ -39,12 +39,12 @@
     void receive(const consensus::message& received);
     void tick();
     void propose(std::string command, on_result done);
-    /// Answers every waiting proposal with an empty result; to be called before the group is destroyed.
+    /// Ends every pending proposal with an empty result; must be called before the group is destroyed.
     void abandon_proposals();
-    /// @returns false when this member does not lead or the change is refused now
+    /// Proposes a change of membership. @returns false if this member does not lead or the change is refused
     bool change(const consensus::membership_change& wanted);
-    /// True while this member leads, no other member can have been elected, and the state machine has every
-    /// entry that was committed before.
+    /// True while this member leads, no other member can have been elected, and the state machine has applied
+    /// every entry that was committed before.
     bool leads() const;
     const consensus::node& node() const noexcept { return node_; }
     const consensus::member_id& self() const noexcept { return self_; }
