--- a/src/app/instance/grant_pusher.cpp
+++ b/src/app/instance/grant_pusher.cpp
@@ -54,7 +54,7 @@
     call.url = "http://" + address_ + "/kcs/grant";
     call.headers = {{"Content-Type", "application/json"}};
     call.body = body.dump();
-    // A push that is not answered within an interval is repeated on another connection.
+    // A push without an answer within one interval is repeated on another connection.
     call.timeout = interval_;
     call.connect_timeout = interval_;
     client_.send(std::move(call), [this, alive = alive_, sent = steady_now()](const http_result& result) {
--- a/src/app/instance/grant_pusher.h
+++ b/src/app/instance/grant_pusher.h
@@ -11,8 +11,8 @@
 
 namespace kingcupseam::app {
 
-/// Pushes grants to one upstream over connections of its own, so that a silent data connection does not end
-/// the grant.
+/// Sends grants to one upstream. It has its own connections, so that an unresponsive data connection does not
+/// let the grant expire.
 class grant_pusher {
 public:
     struct load_report {
@@ -20,8 +20,8 @@
         std::uint32_t slots = 0;
     };
     struct observer {
-        std::function<void(time_point now)> on_answered; ///< the upstream answered a grant
-        std::function<void(time_point now)> on_refused;  ///< nothing listens at the upstream's address
+        std::function<void(time_point now)> on_answered; ///< the upstream answered a push
+        std::function<void(time_point now)> on_refused;  ///< the upstream refused the connection
         std::function<void(const load_report&)> on_load;
     };
 
@@ -31,15 +31,18 @@
     grant_pusher(const grant_pusher&) = delete;
     grant_pusher& operator=(const grant_pusher&) = delete;
 
+    /// Sets the grant to push.
     void assign(ownership::epoch_number epoch, ownership::epoch_number version,
                 ownership::grant_holder::scope granted);
+    /// Sends the next push if it is due.
     void push_due(time_point now, time_point gate_lease_end);
     ownership::grant_issuer& issuer() noexcept { return issuer_; }
     const ownership::grant_issuer& issuer() const noexcept { return issuer_; }
-    /// True after two pushes in a row failed: the upstream is lost or frozen.
+    /// True after two successive pushes failed, which means that the upstream is lost or frozen.
     bool failing() const noexcept { return issuer_.failures() >= 2; }
-    /// Version that the upstream last acknowledged.
+    /// Version of the last grant that the upstream acknowledged.
     ownership::epoch_number acknowledged_version() const noexcept { return acknowledged_; }
+    /// True once the upstream has answered a push.
     bool contacted() const noexcept { return contacted_; }
 
 private:
