--- a/src/app/instance/operator_api.cpp
+++ b/src/app/instance/operator_api.cpp
@@ -43,7 +43,7 @@
     return value;
 }
 
-/// Compares without an early exit, so that the time taken does not show how much of a token is right.
+/// Compares without an early exit, so that the duration does not reveal how much of a token is correct.
 bool equal_in_constant_time(std::string_view a, std::string_view b) {
     unsigned difference = a.size() == b.size() ? 0 : 1;
     for (std::size_t n = 0; n < std::min(a.size(), b.size()); ++n) {
@@ -202,7 +202,7 @@
     }
     global_.propose(encode_profile_change(change), [reply](const std::optional<std::string>& result) {
         if (!result) {
-            // The change may still be committed: the operator resends it with the same change id.
+            // The change may still be committed, so it has to be resent under the same change_id.
             auto response = problem_response(
                 503, "the global group did not confirm the change; resend it with the same change_id");
             response.headers.emplace_back("Retry-After", "1");
--- a/src/app/instance/operator_api.h
+++ b/src/app/instance/operator_api.h
@@ -10,13 +10,13 @@
 
 namespace kingcupseam::app {
 
-/// Listener of operators and of the platform: profiles, status, metrics, readiness and liveness.
+/// HTTP API for operators and the platform: profiles, status, metrics, readiness and liveness.
 class operator_api {
 public:
     operator_api(control_context& shared, global_tier& global, data_center_tier& data_center,
                  const routing_view& view);
 
-    /// Readiness turns false, so that the platform's load balancer sends no new callers.
+    /// Makes the readiness check fail, so that the platform's load balancer sends no new callers.
     void set_stopping() noexcept { stopping_ = true; }
     void stop();
 
