--- a/src/app/instance/instance.cpp
+++ b/src/app/instance/instance.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 std::uint64_t new_incarnation() {
-    // Wall clock time, so that a restarted instance has a higher incarnation than before.
+    // Wall clock time, so that the incarnation increases with each restart.
     const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count());
--- a/src/app/instance/instance.h
+++ b/src/app/instance/instance.h
@@ -4,7 +4,7 @@
 
 namespace kingcupseam::app {
 
-/// Runs an instance until it is asked to stop by SIGTERM or SIGINT; then it shuts down gracefully.
+/// Runs an instance until SIGTERM or SIGINT, then shuts it down gracefully.
 void run_instance(const settings::instance_settings& settings);
 
 } // namespace kingcupseam::app
--- a/src/app/instance/peer_mesh.h
+++ b/src/app/instance/peer_mesh.h
@@ -11,15 +11,15 @@
 
 namespace kingcupseam::app {
 
-/// Links of one thread to other instances, dialled on first use.
+/// One thread's links to other instances, created on first use.
 class peer_mesh {
 public:
     peer_mesh(asio::io_context& context, transport::peer_identity self, transport::link_options settings,
               transport::frame_handler on_frame);
 
-    /// The link to @p address; a changed address replaces the link.
+    /// Link to the instance @p name at @p address; a changed address replaces the link.
     transport::peer_link& link_to(const std::string& name, const endpoint_address& address);
-    /// True when a link exists and is up.
+    /// True if a link to the instance exists and is connected.
     bool up(const std::string& name) const;
     /// Closes the links to instances for which @p keep returns false.
     void retain(const std::function<bool(const std::string&)>& keep);
--- a/src/app/instance/refusal_answer.cpp
+++ b/src/app/instance/refusal_answer.cpp
@@ -50,7 +50,7 @@
                       {"Kingcupseam-Outcome", result},
                       {"Kingcupseam-Reason", std::string(to_string(reason))}};
     if (response.retry_after_ms > 0) {
-        // Retry-After has whole seconds.
+        // Retry-After is in whole seconds; rounded up.
         answer.headers.emplace_back("Retry-After",
                                     std::to_string(std::max(1, (response.retry_after_ms + 999) / 1000)));
     }
