--- a/src/app/instance/upstream_faults.cpp
+++ b/src/app/instance/upstream_faults.cpp
@@ -12,7 +12,7 @@
 
 constexpr duration probe_timeout = std::chrono::milliseconds(300);
 constexpr duration cancel_timeout = std::chrono::milliseconds(300);
-// Asking 20 times a second frees a slot late by 50 ms at most and costs little beside the grants.
+// Frees a slot at most 50 ms late; 20 polls per second add little to the traffic of the grants.
 constexpr duration slot_poll_interval = std::chrono::milliseconds(50);
 constexpr duration silence_limit = std::chrono::milliseconds(250);
 
@@ -77,7 +77,7 @@
             const auto body = json::parse(answer.answer.body, nullptr, false);
             const auto state = body.is_object() ? body.value("state", "") : std::string();
             if (state == "running" || state.empty()) {
-                return; // a slow request, not a silent connection
+                return; // the request is slow; its connection works
             }
             shared_.registry
                 .counter_of("kingcupseam_silent_connections_total",
@@ -138,7 +138,7 @@
 }
 
 void upstream_gate::replace_client() {
-    // Idle connections of the old pool may be silent as well, and each would cost a request the silence
+    // Idle connections of the old pool may be unresponsive too, and each would delay a request by the silence
     // limit.
     retired_clients_.push_back(std::move(client_));
     client_ = std::make_unique<http_client>(
@@ -154,13 +154,13 @@
     if (recently_disconnected_.empty()) {
         return;
     }
-    // Connections broke and now nothing listens: the upstream died with these requests in flight.
+    // Connections broke and new ones are refused: the upstream crashed with these requests in flight.
     std::vector<std::string> digests;
     for (const auto& [digest, when] : recently_disconnected_) {
         digests.push_back(digest);
     }
     recently_disconnected_.clear();
-    spdlog::warn("upstream died upstream={} requests_in_flight={}", row_.name, digests.size());
+    spdlog::warn("upstream crashed upstream={} requests_in_flight={}", row_.name, digests.size());
     shared_.broadcast_poison_requests(shared_.poison_requests.on_crash(digests, now));
 }
 
