--- a/src/app/instance/upstream_dispatch.cpp
+++ b/src/app/instance/upstream_dispatch.cpp
@@ -11,10 +11,9 @@
 constexpr std::string_view request_id_header = "kingcupseam-request-id";
 constexpr std::string_view not_started_header = "kingcupseam-not-started";
 constexpr std::string_view token_header = "kingcupseam-token";
-// An execution that is not over by then no longer keeps its slot, so that a faulty upstream is not lost for
-// good.
+// The slot of an execution that lasts longer is freed, so that a faulty upstream regains its slots.
 constexpr duration max_slot_hold = std::chrono::seconds(10);
-// Answers above this size are passed on but not recorded: a resend then gets `unknown`.
+// Larger answers are passed on but not recorded, so a resent request gets `unknown`.
 constexpr std::size_t max_recorded_answer = 16 * 1024;
 
 std::string header_of(const http_response& answer, std::string_view name) {
@@ -38,7 +37,7 @@
     return response;
 }
 
-/// A recorded answer is the content type, a line feed and the body.
+/// Decodes a recorded answer: the content type, a line feed and the body.
 wire::ForwardResponse recorded_response(const ledger::record& record) {
     const auto line = record.answer.find('\n');
     if (line == std::string::npos) {
@@ -48,7 +47,7 @@
 }
 
 std::uint64_t next_attempt_number() {
-    static std::uint64_t number = 0; // only the gate thread dispatches
+    static std::uint64_t number = 0; // used by the gate thread only
     return ++number;
 }
 
@@ -87,7 +86,7 @@
     const time_point now = steady_now();
     switch (decision.result) {
     case ledger::verdict::dispatch:
-        // The clock is read again: this process may have been paused since the queue released the request.
+        // Checked again, as this process may have been paused since the request left the queue.
         if (request->deadline <= now || !may_dispatch(now) || !still_owner(*request)) {
             const bool late = request->deadline <= now;
             on_not_run(request, late ? refusal::deadline : refusal::stale_route, false);
@@ -96,14 +95,14 @@
         }
         return;
     case ledger::verdict::wait:
-        return; // the decision comes again with the answer
+        return; // called again once the answer is known
     case ledger::verdict::answer:
         release(request, std::nullopt);
         finish(request, recorded_response(*decision.known));
         break;
     case ledger::verdict::in_doubt:
         release(request, std::nullopt);
-        // Without a record no majority let this gate read the window, so the key may have run before.
+        // Without a record, this gate could not read the window from a majority, so the request may have run.
         finish(request, unknown_response(decision.known ? refusal::in_doubt : refusal::ledger_unavailable));
         break;
     case ledger::verdict::conflict:
@@ -115,7 +114,7 @@
         finish(request, not_run_response(refusal::ledger_unavailable, std::chrono::seconds(1)));
         break;
     case ledger::verdict::stale:
-        // This gate will not run it, but the next gate may have.
+        // This gate will not run the request, but the next gate may have.
         release(request, std::nullopt);
         finish(request, unknown_response(refusal::stale_route));
         break;
@@ -197,7 +196,7 @@
         header_of(result.answer, request_id_header) == request->attempt_id) {
         on_answer(request, result.answer);
     } else if (result.failure == http_failure::none) {
-        // Another request's answer, or none of ours: it must not reach this caller.
+        // The answer belongs to another request or lacks an id, so it must not reach this caller.
         shared_.registry
             .counter_of("kingcupseam_crossed_answers_total",
                         "Answers that did not carry the id of their request")
--- a/src/app/instance/upstream_gate.cpp
+++ b/src/app/instance/upstream_gate.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// The leader names another gate 400 ms after the last renewal, while the lease lasts 600 ms; within the
-// difference and 5 ms of clock drift the next gate may already run a key.
+// The leader assigns another gate 400 ms after the last renewal, while the lease lasts 600 ms. During the
+// difference and 5 ms of clock drift, the next gate may already dispatch requests of the same key.
 constexpr duration takeover_before_lease_end = std::chrono::milliseconds(205);
 
 admission::queue_options queue_options_of(const ownership::upstream_row& row) {
@@ -227,7 +227,7 @@
             by_key_.erase(it);
         }
     }
-    // Another gate may run a key that this gate no longer holds, or may have run it.
+    // If this is not the key's gate any more, another gate may have run the request or may still run it.
     const bool not_run_unproven =
         uses_ledger(*request) &&
         (response.reason == static_cast<std::int8_t>(refusal::stale_route) || !may_claim_not_run(*request));
--- a/src/app/instance/upstream_gate.h
+++ b/src/app/instance/upstream_gate.h
@@ -17,7 +17,7 @@
 
 namespace kingcupseam::app {
 
-/// What all upstream gates of an instance share.
+/// State shared by all upstream gates of an instance.
 struct gate_context {
     asio::io_context& io;
     const settings::instance_settings& settings;
@@ -29,10 +29,10 @@
     std::function<void(const std::vector<admission::poison_request_list::record>&)> broadcast_poison_requests;
 };
 
-/// Condition of an upstream as its gate reports it to the leader.
+/// Health of an upstream as its gate reports it to the leader; sent as UpstreamReport.health.
 enum class reported_health : std::int8_t { not_contacted, serving, failed };
 
-/// The gate of one upstream: its queue, its grant, its connections and its requests in flight.
+/// The gate of one upstream: its queue, grant, connections and in-flight requests.
 class upstream_gate {
 public:
     upstream_gate(gate_context& shared, const ownership::upstream_row& row);
@@ -40,11 +40,11 @@
     upstream_gate(const upstream_gate&) = delete;
     upstream_gate& operator=(const upstream_gate&) = delete;
 
-    /// Takes over a newer row of the routing table.
+    /// Applies a newer row of the routing table.
     void update(const ownership::table& rows, const ownership::upstream_row& next);
     void submit(const gate_request_ptr& request);
     void tick(time_point now);
-    /// Another instance is the gate now: refuses what waits; what is in flight ends by itself.
+    /// Called when another instance has become the gate: refuses queued requests; in-flight requests finish.
     void hand_over();
     bool idle() const noexcept { return running_.empty() && waiting_.empty(); }
     wire::UpstreamReport report(time_point now) const;
@@ -52,9 +52,11 @@
 
 private:
     void admit(const gate_request_ptr& request);
+    /// Dispatches queued requests while slots are free, and refuses those whose deadline has passed.
     void dispatch_waiting();
     void refuse_expired(time_point now);
     bool may_dispatch(time_point now) const;
+    /// True while the upstream owns the request's key.
     bool still_owner(const gate_request& request) const;
 
     void dispatch(const gate_request_ptr& request);
@@ -64,30 +66,36 @@
     void on_result(const gate_request_ptr& request, const http_result& result);
     void on_answer(const gate_request_ptr& request, const http_response& answer);
     void on_failure(const gate_request_ptr& request, http_failure failure);
+    /// Cancels the attempt at the upstream and settles the request by the state that the upstream reports.
     void query_outcome(const gate_request_ptr& request);
-    /// Cancels the attempt at the upstream. @p done gets the state that the upstream told, empty without one.
+    /// Cancels the attempt at the upstream. @p done gets the state that the upstream reported, empty if none.
     void cancel_attempt(const std::string& attempt_id,
                         std::function<void(const http_result&, const std::string& state)> done);
-    /// Keeps the slot of an execution that could not be cancelled until the upstream has finished it.
+    /// Keeps the slot of an execution that could not be cancelled until the upstream has finished it, at most
+    /// until @p until.
     void hold_slot(std::uint64_t ticket, const std::string& attempt_id, time_point until);
     void on_not_run(const gate_request_ptr& request, refusal reason, bool retry);
     void on_may_have_run(const gate_request_ptr& request, refusal reason);
     bool retry(const gate_request_ptr& request);
     void release(const gate_request_ptr& request, std::optional<duration> service_time);
-    /// Refuses a request that the ledger has not decided. An earlier send of the idempotency key of an
-    /// at-most-once request may have run, so the ledger window is read before `not-run` is claimed.
+    /// Refuses a request for which the ledger has made no decision. An earlier request with the same
+    /// idempotency key may have run, so the ledger window of an at-most-once request is read before `not-run`
+    /// is claimed.
     void refuse(const gate_request_ptr& request, refusal reason, duration retry_after = duration{0});
     void on_ledger_check(const gate_request_ptr& request, const ledger::decision& found,
                          const wire::ForwardResponse& refused);
     bool uses_ledger(const gate_request& request) const;
     bool holds_lease(time_point now) const;
-    /// True while no other instance can be the gate of the request's key.
+    /// True while no other instance can have become the gate of the request's key.
     bool may_claim_not_run(const gate_request& request) const;
     void finish(const gate_request_ptr& request, wire::ForwardResponse response);
     ledger::record record_of(const gate_request& request, ledger::record_state state) const;
 
+    /// Probes the upstream if an in-flight request has had no answer for some time.
     void check_silence(time_point now);
     void on_probe_result(const http_result& result);
+    /// Asks a responsive upstream for the state of each unanswered request, to detect connections that carry
+    /// no more answers.
     void check_silent_requests(time_point now);
     void on_upstream_refused(time_point now);
     void replace_client();
@@ -96,7 +104,7 @@
     ownership::upstream_row row_;
     std::unique_ptr<http_client> client_;
     std::vector<std::unique_ptr<http_client>> retired_clients_;
-    http_client probe_client_; ///< fresh connections for probes and cancellation
+    http_client probe_client_; ///< opens a new connection for each probe and cancellation
     std::unique_ptr<admission::queue> queue_;
     admission::retry_budget retries_;
     admission::upstream_health health_;
