--- a/include/kingcupseam/statechart.h
+++ b/include/kingcupseam/statechart.h
@@ -10,13 +10,13 @@
 
 namespace kingcupseam::statechart {
 
-/// A chart is not usable: unreachable state, missing target, unknown event or no initial state.
+/// Thrown for an invalid chart, such as one with an unreachable state, a missing target or an unknown event.
 class invalid_chart : public error {
 public:
     invalid_chart(const std::string& source, const std::string& problem);
 };
 
-/// An event that the chart does not declare.
+/// Thrown for an event that the chart does not declare.
 class unknown_event : public error {
 public:
     unknown_event(const std::string& chart, const std::string& event);
@@ -28,7 +28,7 @@
     auto operator<=>(const transition&) const = default;
 };
 
-/// A state that the chart does not have.
+/// Thrown for a state that the chart does not have.
 class unknown_state : public error {
 public:
     unknown_state(const std::string& chart, const std::string& state);
@@ -49,26 +49,28 @@
 /// @throws invalid_chart
 chart parse_chart(const std::string& source, const std::string& text);
 
-/// A chart that was embedded in the binary at build time from charts/<name>.toml.
-/// @throws invalid_chart when there is none
+/// The chart in charts/<name>.toml, as embedded in the binary at build time.
+/// @throws invalid_chart if there is none
 const chart& embedded_chart(std::string_view name);
 /// Names of all embedded charts.
 std::vector<std::string> embedded_chart_names();
 
-/// Mermaid state diagram for the docs.
+/// Mermaid state diagram of the chart.
 std::string to_mermaid(const chart& source);
 
-/// One running instance of a chart, which must outlive it.
+/// A state machine that follows a chart. The chart must outlive it.
 class machine {
 public:
+    /// Starts in the chart's initial state.
     explicit machine(const chart& source);
-    /// Continues in @p current, for a state that is stored elsewhere.
+    /// Resumes in the state @p current, for example one read from storage.
     /// @throws unknown_state
     machine(const chart& source, std::string current);
     const std::string& current() const noexcept { return current_; }
-    /// @returns true when the state has a transition for the event; it is taken
+    /// Takes the current state's transition for the event. @returns false if there is none
     /// @throws unknown_event
     bool fire(std::string_view event);
+    /// True in a final state.
     bool finished() const;
 
 private:
--- a/src/statechart/statechart.cpp
+++ b/src/statechart/statechart.cpp
@@ -42,13 +42,13 @@
     return result;
 }
 
-void check_events(const std::string& source, const chart& all) {
-    std::set<std::string> unused(all.events.begin(), all.events.end());
-    if (unused.size() != all.events.size()) {
-        throw invalid_chart(source, "events: names an event twice");
+void check_events(const std::string& source, const chart& parsed) {
+    std::set<std::string> unused(parsed.events.begin(), parsed.events.end());
+    if (unused.size() != parsed.events.size()) {
+        throw invalid_chart(source, "events: an event is declared twice");
     }
     const std::set<std::string> declared = unused;
-    for (const auto& [name, transitions] : all.states) {
+    for (const auto& [name, transitions] : parsed.states) {
         for (const auto& it : transitions) {
             if (!declared.contains(it.event)) {
                 throw invalid_chart(source, "state " + name + ": unknown event " + it.event);
@@ -61,39 +61,39 @@
     }
 }
 
-void check_targets(const std::string& source, const chart& all) {
-    if (!all.states.contains(all.initial)) {
-        throw invalid_chart(source, "initial: there is no state " + all.initial);
+void check_targets(const std::string& source, const chart& parsed) {
+    if (!parsed.states.contains(parsed.initial)) {
+        throw invalid_chart(source, "initial: there is no state " + parsed.initial);
     }
-    for (const auto& [name, transitions] : all.states) {
-        const bool final =
-            std::find(all.final_states.begin(), all.final_states.end(), name) != all.final_states.end();
+    for (const auto& [name, transitions] : parsed.states) {
+        const bool final = std::find(parsed.final_states.begin(), parsed.final_states.end(), name) !=
+                           parsed.final_states.end();
         if (final != transitions.empty()) {
             throw invalid_chart(source, "state " + name +
                                             (final ? ": a final state has no transitions"
                                                    : ": a state without transitions must be final"));
         }
         for (const auto& it : transitions) {
-            if (!all.states.contains(it.target)) {
+            if (!parsed.states.contains(it.target)) {
                 throw invalid_chart(source, "state " + name + ": missing target " + it.target);
             }
         }
     }
 }
 
-void check_reachable(const std::string& source, const chart& all) {
-    std::set<std::string> reached{all.initial};
-    std::vector<std::string> open{all.initial};
+void check_reachable(const std::string& source, const chart& parsed) {
+    std::set<std::string> reached{parsed.initial};
+    std::vector<std::string> open{parsed.initial};
     while (!open.empty()) {
         const std::string current = std::move(open.back());
         open.pop_back();
-        for (const auto& it : all.states.at(current)) {
+        for (const auto& it : parsed.states.at(current)) {
             if (reached.insert(it.target).second) {
                 open.push_back(it.target);
             }
         }
     }
-    for (const auto& [name, transitions] : all.states) {
+    for (const auto& [name, transitions] : parsed.states) {
         if (!reached.contains(name)) {
             throw invalid_chart(source, "state " + name + ": unreachable");
         }
