--- a/src/app/instance/data_center_tier.h
+++ b/src/app/instance/data_center_tier.h
@@ -140,7 +140,7 @@
     std::unique_ptr<assignment_machine> machine_;
     std::unique_ptr<replicated_group> group_;
     std::unique_ptr<ownership::planner> planner_;
-    std::vector<std::string> voters_; ///< voters at the group's formation; asked for the leader
+    std::vector<std::string> voters_; ///< voters at the group's formation; tried in turn to find the leader
     std::string leader_;
     std::string candidate_; ///< recipient of the last lease request
     std::size_t next_candidate_ = 0;
--- a/src/app/instance/global_tier.cpp
+++ b/src/app/instance/global_tier.cpp
@@ -149,7 +149,7 @@
     for (const auto& it : reply.instances) {
         shared_.update_instance(from_wire(it));
     }
-    // An instance with a disk that is not a member has a group object, which does not know the leader.
+    // An instance with a disk has a group even while it is not a member; that group does not know the leader.
     const bool group_knows_leader = group_ && group_->node().leader().has_value();
     if (!reply.leader.empty() && !group_knows_leader) {
         leader_ = reply.leader;
