--- a/src/router/control_links.cpp
+++ b/src/router/control_links.cpp
@@ -86,11 +86,11 @@
             entries.push_back({it.name, it.data_center});
         }
         callbacks_.on_entries(std::move(entries));
-        std::vector<watched_request> watched;
+        std::vector<poison_request> watched;
         for (const auto& it : status.watched) {
             watched.push_back({static_cast<request_digest>(it.digest), it.refused});
         }
-        callbacks_.on_watched(std::move(watched));
+        callbacks_.on_poison_requests(std::move(watched));
     }
     choose_source();
 }
--- a/src/router/control_links.h
+++ b/src/router/control_links.h
@@ -25,7 +25,7 @@
     struct observer {
         std::function<void(directory::snapshot_ptr)> on_directory;
         std::function<void(std::vector<entry_instance>)> on_entries; ///< that take requests
-        std::function<void(std::vector<watched_request>)> on_watched;
+        std::function<void(std::vector<poison_request>)> on_poison_requests;
     };
 
     control_links(asio::io_context& context, const process_settings& settings, observer callbacks);
--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -196,7 +196,7 @@
         conditions_.clear();
         lives_.clear();
         loads_.clear();
-        crashes_ = crash_watch();
+        poison_detector_ = poison_request_detector();
         for (const auto& [id, it] : machine_.state()->upstreams) {
             conditions_[id].last_announced = now;
         }
@@ -212,7 +212,7 @@
         for (auto& [service, it] : loads_) {
             it.decay(decay_factor);
         }
-        crashes_.expire(now);
+        poison_detector_.expire(now);
         replace_lost_members(now);
         remove_silent_upstreams(now);
     }
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -2,9 +2,9 @@
 
 #include "app/instance/peer_mesh.h"
 #include "app/instance/replicated_group.h"
-#include "router/crash_watch.h"
 #include "router/dialect.h"
 #include "router/directory_machine.h"
+#include "router/poison_requests.h"
 #include "router/publisher.h"
 #include "router/settings.h"
 
@@ -93,7 +93,7 @@
     std::map<std::string, tracked_life> lives_;
     std::map<std::string, key_ranges::key_loads> loads_;
     std::map<std::string, double> service_times_; ///< moving average in microseconds, by upstream id
-    crash_watch crashes_;
+    poison_request_detector poison_detector_;
     bool was_leading_ = false;
     time_point next_keeper_run_;
     time_point next_decay_;
--- a/src/router/control_node_reports.cpp
+++ b/src/router/control_node_reports.cpp
@@ -53,12 +53,13 @@
 void control_node::on_crash_reports(const wire::LoadReport& report) {
     for (const auto& it : report.crashed) {
         const auto digest = static_cast<request_digest>(it.digest);
-        const bool refused = crashes_.on_crash({digest, {it.upstream, it.upstream_started_ms}}, steady_now());
+        const bool refused =
+            poison_detector_.on_crash({digest, {it.upstream, it.upstream_started_ms}}, steady_now());
         spdlog::warn("upstream ended with a request upstream={} digest={:016x} refused={}", it.upstream,
                      digest, refused);
     }
     for (const auto digest : report.survived) {
-        crashes_.on_survived(static_cast<request_digest>(digest));
+        poison_detector_.on_survived(static_cast<request_digest>(digest));
     }
     broadcast_status();
 }
@@ -98,7 +99,7 @@
         const auto peer = it.second.lock();
         return !peer || !peer->open();
     });
-    for (const auto& watched : crashes_.list()) {
+    for (const auto& watched : poison_detector_.list()) {
         wire::WatchedRequest it;
         it.digest = static_cast<std::int64_t>(watched.digest);
         it.refused = watched.refused;
--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -333,11 +333,12 @@
 }
 
 bool dispatcher::is_refused(const job_ptr& it) const {
-    return !watched_.empty() && watched_.refuses(digest_of(it->request, forms_.id_header()), steady_now());
+    return !poison_requests_.empty() &&
+           poison_requests_.is_refused(digest_of(it->request, forms_.id_header()), steady_now());
 }
 
 void dispatcher::report_crashes() {
-    for (auto& it : broken_.take_crashed(*directory_, steady_now())) {
+    for (auto& it : interrupted_.take_crashes(*directory_, steady_now())) {
         spdlog::warn("upstream ended with a request upstream={} digest={:016x}", it.upstream.id, it.digest);
         report_.crashed.push_back(std::move(it));
     }
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "router/crash_watch.h"
 #include "router/dialect.h"
 #include "router/gate_network.h"
 #include "router/lane.h"
+#include "router/poison_requests.h"
 #include "router/retry_allowance.h"
 #include "router/upstream_client.h"
 
@@ -51,7 +51,7 @@
         duration total{};
     };
     std::map<std::string, service_time> upstreams; ///< by id, of requests that did not wait there
-    std::vector<crashed_request> crashed;
+    std::vector<crash_report> crashed;
     std::set<request_digest> survived; ///< watched requests that an upstream answered
     bool empty() const { return keys.empty() && upstreams.empty() && crashed.empty() && survived.empty(); }
 };
@@ -78,7 +78,9 @@
     void on_connection_closed(std::uint64_t connection);
     void set_directory(directory::snapshot_ptr held);
     /// Requests that upstreams have ended with, as the leader names them.
-    void set_watched(const std::vector<watched_request>& named) { watched_.update(named, steady_now()); }
+    void set_poison_requests(const std::vector<poison_request>& named) {
+        poison_requests_.update(named, steady_now());
+    }
     void set_entries(int entries) { entries_ = entries < 1 ? 1 : entries; }
     /// From now on every answer closes its connection.
     void stop() { stopping_ = true; }
@@ -160,8 +162,8 @@
     std::map<std::string, retry_allowance> allowances_;
     std::map<std::string, std::map<std::string, double>> shares_; ///< smooth weighted round robin, by route
     traffic_report report_;
-    broken_requests broken_;
-    watched_requests watched_;
+    interrupted_requests interrupted_;
+    known_poison_requests poison_requests_;
 };
 
 } // namespace kingcupseam::router
--- a/src/router/dispatcher_answers.cpp
+++ b/src/router/dispatcher_answers.cpp
@@ -28,7 +28,7 @@
     } else {
         if (from != nullptr) {
             if (result.end == exchange_end::broken) {
-                broken_.add(digest_of(it->request, forms_.id_header()), from->target(), steady_now());
+                interrupted_.add(digest_of(it->request, forms_.id_header()), from->target(), steady_now());
             }
             if (result.end == exchange_end::timeout && it->deadline - it->sent_at < it->route.timeout / 2) {
                 measure_overdue(it, *from); // had little time: no failure of the upstream
@@ -64,9 +64,9 @@
         }
         return;
     }
-    if (!watched_.empty()) {
+    if (!poison_requests_.empty()) {
         const auto digest = digest_of(it->request, forms_.id_header());
-        if (watched_.reports(digest)) {
+        if (poison_requests_.needs_answer_report(digest)) {
             report_.survived.insert(digest);
         }
     }
--- /dev/null
+++ b/src/router/poison_requests.cpp
@@ -0,0 +1,112 @@
+#include "router/poison_requests.h"
+
+#include <algorithm>
+
+namespace kingcupseam::router {
+
+namespace {
+
+// An upstream that crashed is back, or replaced at its address, within this time.
+constexpr duration max_restart_time = std::chrono::seconds(30);
+// A crash breaks as many requests as the upstream has slots; beyond this, connections break for other
+// reasons.
+constexpr std::size_t max_interrupted_requests = 256;
+// A refused request that no leader names any more is sent again after this time.
+constexpr duration refusal_retention = std::chrono::minutes(10);
+
+bool was_replaced(const directory::upstream& target, const directory::snapshot& state) {
+    const auto same_id = state.upstreams.find(target.incarnation.id);
+    if (same_id != state.upstreams.end() &&
+        same_id->second.incarnation.started_ms > target.incarnation.started_ms) {
+        return true;
+    }
+    const auto* same_address = state.find_by_address(target.address);
+    return same_address != nullptr && same_address->incarnation.started_ms > target.incarnation.started_ms;
+}
+
+} // namespace
+
+void interrupted_requests::add(request_digest digest, const directory::upstream& target, time_point now) {
+    if (records_.size() >= max_interrupted_requests) {
+        records_.erase(records_.begin());
+    }
+    records_.push_back({digest, target, now});
+}
+
+std::vector<crash_report> interrupted_requests::take_crashes(const directory::snapshot& state,
+                                                             time_point now) {
+    std::vector<crash_report> result;
+    std::erase_if(records_, [&](const record& it) {
+        if (now - it.since > max_restart_time) {
+            return true;
+        }
+        if (!was_replaced(it.target, state)) {
+            return false;
+        }
+        result.push_back({it.digest, it.target.incarnation});
+        return true;
+    });
+    return result;
+}
+
+bool poison_request_detector::on_crash(const crash_report& report, time_point now) {
+    if (!records_.contains(report.digest)) {
+        make_room();
+    }
+    record& known = records_[report.digest];
+    known.last_crash = now;
+    const bool added = known.crashed_upstreams.insert(report.upstream).second;
+    return added && known.crashed_upstreams.size() == settings_.crash_limit;
+}
+
+void poison_request_detector::on_survived(request_digest digest) {
+    const auto known = records_.find(digest);
+    if (known != records_.end() && known->second.crashed_upstreams.size() < settings_.crash_limit) {
+        records_.erase(known);
+    }
+}
+
+void poison_request_detector::expire(time_point now) {
+    std::erase_if(records_, [&](const auto& it) { return now - it.second.last_crash > settings_.retention; });
+}
+
+void poison_request_detector::make_room() {
+    if (records_.size() < settings_.max_records) {
+        return;
+    }
+    records_.erase(std::min_element(records_.begin(), records_.end(), [](const auto& a, const auto& b) {
+        return a.second.last_crash < b.second.last_crash;
+    }));
+}
+
+std::vector<poison_request> poison_request_detector::list() const {
+    std::vector<poison_request> result;
+    for (const auto& [digest, it] : records_) {
+        result.push_back({digest, it.crashed_upstreams.size() >= settings_.crash_limit});
+    }
+    return result;
+}
+
+void known_poison_requests::update(const std::vector<poison_request>& listed, time_point now) {
+    std::erase_if(records_, [&](const auto& it) {
+        return !it.second.refused || now - it.second.last_named > refusal_retention;
+    });
+    for (const auto& it : listed) {
+        record& known = records_[it.digest];
+        known.refused = known.refused || it.refused;
+        known.last_named = now;
+    }
+}
+
+bool known_poison_requests::is_refused(request_digest digest, time_point now) const {
+    const auto known = records_.find(digest);
+    return known != records_.end() && known->second.refused &&
+           now - known->second.last_named <= refusal_retention;
+}
+
+bool known_poison_requests::needs_answer_report(request_digest digest) const {
+    const auto known = records_.find(digest);
+    return known != records_.end() && !known->second.refused;
+}
+
+} // namespace kingcupseam::router
--- a/src/router/request_digest.h
+++ b/src/router/request_digest.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "router/crash_watch.h"
 #include "router/dialect.h"
+#include "router/poison_requests.h"
 
 namespace kingcupseam::router {
 
--- a/tests/platform/crashing_request_test.cpp
+++ b/tests/platform/crashing_request_test.cpp
@@ -24,14 +24,14 @@
         const auto digest = report.crashed.front().digest;
 
         SUBCASE("and its next answer is reported while the leader watches it") {
-            it.under_test.set_watched({{digest, false}});
+            it.under_test.set_poison_requests({{digest, false}});
             CHECK(it.send("/unsafe/1").status == 200);
             CHECK(it.under_test.take_report().survived.contains(digest));
             CHECK(it.send("/unsafe/2").status == 200);
             CHECK(it.under_test.take_report().survived.empty());
         }
         SUBCASE("and reaches no upstream once the leader refuses it") {
-            it.under_test.set_watched({{digest, true}});
+            it.under_test.set_poison_requests({{digest, true}});
             CHECK(it.send("/unsafe/1").status == 503);
             CHECK(it.upstream.requests == 0);
             CHECK(it.send("/unsafe/2").status == 200);
--- /dev/null
+++ b/tests/router/poison_requests_test.cpp
@@ -0,0 +1,106 @@
+#include "router/poison_requests.h"
+
+#include <doctest/doctest.h>
+
+namespace kingcupseam::router {
+
+namespace {
+
+constexpr request_digest poison = 7;
+constexpr request_digest bystander = 8;
+const time_point start{std::chrono::seconds(100)};
+
+directory::upstream upstream_of(const char* id, std::int64_t started_ms, std::uint16_t port) {
+    return {{id, started_ms}, "s", "d", {"127.0.0.1", port}, 2, false, false};
+}
+
+} // namespace
+
+TEST_CASE("a broken request counts as a crash only when its upstream is followed by a later life") {
+    const auto target = upstream_of("u", 1000, 80);
+    directory::snapshot state;
+    state.upstreams["u"] = target;
+    interrupted_requests interrupted;
+    interrupted.add(poison, target, start);
+    CHECK(interrupted.take_crashes(state, start).empty());
+
+    SUBCASE("under its id") {
+        state.upstreams["u"] = upstream_of("u", 2000, 80);
+        CHECK(interrupted.take_crashes(state, start) ==
+              std::vector<crash_report>{{poison, target.incarnation}});
+        CHECK(interrupted.take_crashes(state, start).empty());
+    }
+    SUBCASE("at its address") {
+        state.upstreams.clear();
+        state.upstreams["v"] = upstream_of("v", 2000, 80);
+        CHECK(interrupted.take_crashes(state, start).size() == 1);
+    }
+    SUBCASE("not when it only leaves") {
+        state.upstreams.clear();
+        CHECK(interrupted.take_crashes(state, start).empty());
+    }
+    SUBCASE("not when the later life comes long afterwards") {
+        state.upstreams["u"] = upstream_of("u", 2000, 80);
+        CHECK(interrupted.take_crashes(state, start + std::chrono::minutes(1)).empty());
+    }
+}
+
+// Guards against a request that crashes one upstream after the other while its caller sends it again.
+TEST_CASE("a request that ends upstreams is refused after the third") {
+    poison_request_detector detector;
+    CHECK_FALSE(detector.on_crash({poison, {"a", 1}}, start));
+    CHECK(detector.list() == std::vector<poison_request>{{poison, false}});
+
+    SUBCASE("two reports of one crash count once") {
+        CHECK_FALSE(detector.on_crash({poison, {"a", 1}}, start));
+        CHECK_FALSE(detector.on_crash({poison, {"a", 1}}, start));
+        CHECK_FALSE(detector.list().front().refused);
+    }
+    SUBCASE("three upstreams") {
+        CHECK_FALSE(detector.on_crash({poison, {"b", 1}}, start));
+        CHECK(detector.on_crash({poison, {"a", 2}}, start));
+        CHECK(detector.list().front().refused);
+        detector.on_survived(poison); // an answer to an attempt that was sent before
+        CHECK(detector.list().front().refused);
+    }
+    // Guards against the refusal of a popular request, one of which is always at work when upstreams end.
+    SUBCASE("an answer in between shows that it was at work by chance") {
+        CHECK_FALSE(detector.on_crash({poison, {"b", 1}}, start));
+        detector.on_survived(poison);
+        CHECK_FALSE(detector.on_crash({poison, {"c", 1}}, start));
+        CHECK_FALSE(detector.list().front().refused);
+    }
+    SUBCASE("after a while it gets another try") {
+        detector.expire(start + std::chrono::minutes(11));
+        CHECK(detector.list().empty());
+    }
+    SUBCASE("the record is bounded") {
+        for (request_digest digest = 100; digest < 1000; ++digest) {
+            detector.on_crash({digest, {"a", 1}}, start + std::chrono::seconds(1));
+        }
+        CHECK(detector.list().size() == poison_request_options{}.max_records);
+    }
+}
+
+TEST_CASE("an entry follows the leader's record") {
+    known_poison_requests watched;
+    CHECK(watched.empty());
+    watched.update({{poison, true}, {bystander, false}}, start);
+    CHECK(watched.is_refused(poison, start));
+    CHECK_FALSE(watched.is_refused(bystander, start));
+    CHECK(watched.needs_answer_report(bystander));
+    CHECK_FALSE(watched.needs_answer_report(poison));
+
+    SUBCASE("what is not watched any more is forgotten") {
+        watched.update({{poison, true}}, start);
+        CHECK_FALSE(watched.needs_answer_report(bystander));
+    }
+    SUBCASE("a new leader that knows nothing yet does not lift a refusal") {
+        watched.update({}, start);
+        CHECK(watched.is_refused(poison, start));
+        watched.update({}, start + std::chrono::minutes(11));
+        CHECK_FALSE(watched.is_refused(poison, start + std::chrono::minutes(11)));
+    }
+}
+
+} // namespace kingcupseam::router
