--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -2,9 +2,9 @@
 
 #include "app/instance/peer_mesh.h"
 #include "app/instance/replicated_group.h"
-#include "router/dialect.h"
 #include "router/directory_machine.h"
 #include "router/poison_requests.h"
+#include "router/protocol_adapter.h"
 #include "router/publisher.h"
 #include "router/settings.h"
 
--- a/src/router/control_process.cpp
+++ b/src/router/control_process.cpp
@@ -54,7 +54,7 @@
 
 class control_process {
 public:
-    control_process(const settings_source& read_settings, const dialect& forms);
+    control_process(const settings_source& read_settings, const protocol_adapter& protocol);
     void run();
 
 private:
@@ -62,7 +62,7 @@
     void send_order(const key_ranges::call& order, on_call_result done);
 
     process_settings settings_;
-    const dialect& forms_;
+    const protocol_adapter& protocol_;
     app::worker control_;
     app::worker traffic_;
     upstream_client client_{traffic_.io, {}};
@@ -74,8 +74,8 @@
     asio::signal_set signals_{control_.io, SIGTERM, SIGINT};
 };
 
-control_process::control_process(const settings_source& read_settings, const dialect& forms)
-    : settings_(read_settings()), forms_(forms),
+control_process::control_process(const settings_source& read_settings, const protocol_adapter& protocol)
+    : settings_(read_settings()), protocol_(protocol),
       watch_(control_.io, read_settings,
              [this](const std::vector<std::string>& ips) { node_->set_seeds(ips); }) {
     node_ = std::make_unique<control_node>(
@@ -92,7 +92,7 @@
             };
             asio::post(control_.io, [this, received = std::move(received),
                                      reply = std::move(on_traffic_thread)]() mutable {
-                forms_.serve_control(std::move(received), reply, *node_);
+                protocol_.serve_control(std::move(received), reply, *node_);
             });
         });
 }
@@ -101,7 +101,7 @@
     asio::post(traffic_.io, [this, order, done = std::move(done)]() mutable {
         exchange request;
         request.target = order.address;
-        request.bytes = forms_.write_call(order);
+        request.bytes = protocol_.write_call(order);
         request.timeout = order.kind == key_ranges::call_kind::grant ? grant_timeout : release_timeout;
         request.new_connection = order.new_connection;
         client_.send(std::move(request), [this, order, done = std::move(done)](const exchange_result& it) {
@@ -117,7 +117,7 @@
                              order.target.id, order.first, order.last, order.epoch, to_string(result),
                              it.answer.status);
             }
-            asio::post(control_.io, [done, result, handover = forms_.read_handover(it.answer)] {
+            asio::post(control_.io, [done, result, handover = protocol_.read_handover(it.answer)] {
                 done(result, handover);
             });
         });
@@ -139,8 +139,8 @@
 
 } // namespace
 
-void run_control(const settings_source& read_settings, const dialect& forms) {
-    control_process(read_settings, forms).run();
+void run_control(const settings_source& read_settings, const protocol_adapter& protocol) {
+    control_process(read_settings, protocol).run();
 }
 
 } // namespace kingcupseam::router
--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -19,8 +19,8 @@
 /// Size of the request line and the headers, with their separators.
 std::size_t header_bytes_of(const app::http_request& request) {
     constexpr std::size_t separators = 4; // ": " and CRLF; two blanks and CRLF of the request line
-    constexpr std::string_view protocol = "HTTP/1.1";
-    std::size_t result = request.method.size() + request.target.size() + protocol.size() + separators;
+    constexpr std::string_view http_version = "HTTP/1.1";
+    std::size_t result = request.method.size() + request.target.size() + http_version.size() + separators;
     for (const auto& [name, value] : request.headers) {
         result += name.size() + value.size() + separators;
     }
@@ -29,10 +29,10 @@
 
 } // namespace
 
-dispatcher::dispatcher(asio::io_context& context, const dialect& forms, dispatcher_options settings,
-                       metrics::registry& registry)
-    : context_(context), forms_(forms), settings_(std::move(settings)), registry_(registry),
-      client_(context, {forms.id_header()}), directory_(std::make_shared<const directory::snapshot>()) {}
+dispatcher::dispatcher(asio::io_context& context, const protocol_adapter& protocol,
+                       dispatcher_options settings, metrics::registry& registry)
+    : context_(context), protocol_(protocol), settings_(std::move(settings)), registry_(registry),
+      client_(context, {protocol.id_header()}), directory_(std::make_shared<const directory::snapshot>()) {}
 
 dispatcher::~dispatcher() = default;
 
@@ -41,7 +41,7 @@
     const std::uint64_t connection = received.connection;
     const std::size_t header_bytes = header_bytes_of(received);
     try {
-        auto request = forms_.read_request(std::move(received));
+        auto request = protocol_.read_request(std::move(received));
         request.connection = connection;
         const auto it =
             std::make_shared<job>(context_, next_job_++, std::move(request), std::move(reply), now);
@@ -236,7 +236,7 @@
     target.on_sent(now);
     exchange request;
     request.target = target.target().address;
-    request.bytes = forms_.write_attempt(it->request, target.target(), left);
+    request.bytes = protocol_.write_attempt(it->request, target.target(), left);
     request.id = it->request.id;
     request.timeout = left;
     it->exchange = client_.send(std::move(request), [this, it](exchange_result result) {
@@ -334,7 +334,7 @@
 
 bool dispatcher::is_refused(const job_ptr& it) const {
     return !poison_requests_.empty() &&
-           poison_requests_.is_refused(digest_of(it->request, forms_.id_header()), steady_now());
+           poison_requests_.is_refused(digest_of(it->request, protocol_.id_header()), steady_now());
 }
 
 void dispatcher::report_crashes() {
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "router/dialect.h"
 #include "router/gate_network.h"
 #include "router/lane.h"
 #include "router/poison_requests.h"
+#include "router/protocol_adapter.h"
 #include "router/retry_allowance.h"
 #include "router/upstream_client.h"
 
@@ -59,7 +59,7 @@
 /// Takes callers' requests to the upstreams that may run them. Runs on the traffic thread.
 class dispatcher {
 public:
-    dispatcher(asio::io_context& context, const dialect& forms, dispatcher_options settings,
+    dispatcher(asio::io_context& context, const protocol_adapter& protocol, dispatcher_options settings,
                metrics::registry& registry);
     ~dispatcher();
     dispatcher(const dispatcher&) = delete;
@@ -143,7 +143,7 @@
     retry_allowance& allowance(const std::string& service);
 
     asio::io_context& context_;
-    const dialect& forms_;
+    const protocol_adapter& protocol_;
     dispatcher_options settings_;
     metrics::registry& registry_;
     upstream_client client_;
--- a/src/router/dispatcher_answers.cpp
+++ b/src/router/dispatcher_answers.cpp
@@ -28,7 +28,7 @@
     } else {
         if (from != nullptr) {
             if (result.end == exchange_end::broken) {
-                interrupted_.add(digest_of(it->request, forms_.id_header()), from->target(), steady_now());
+                interrupted_.add(digest_of(it->request, protocol_.id_header()), from->target(), steady_now());
             }
             if (result.end == exchange_end::timeout && it->deadline - it->sent_at < it->route.timeout / 2) {
                 measure_overdue(it, *from); // had little time: no failure of the upstream
@@ -47,17 +47,17 @@
 
 void dispatcher::on_answer(const job_ptr& it, lane* from, app::http_response answer) {
     const time_point now = steady_now();
-    const answer_facts facts = forms_.read_answer(it->request, answer);
-    if (facts.not_executed) {
+    const answer_metadata metadata = protocol_.read_answer(it->request, answer);
+    if (metadata.not_executed) {
         --it->runs_possible;
         if (from != nullptr) {
-            if (facts.wrong_upstream) {
+            if (metadata.wrong_upstream) {
                 from->on_withdrawn();
             } else {
-                from->on_shed(facts.load, now);
+                from->on_shed(metadata.load, now);
             }
         }
-        if (facts.wrong_upstream) {
+        if (metadata.wrong_upstream) {
             on_wrong_owner(it, now);
         } else {
             retry_or_end(it, "shed", settings_.shed_backoff);
@@ -65,22 +65,22 @@
         return;
     }
     if (!poison_requests_.empty()) {
-        const auto digest = digest_of(it->request, forms_.id_header());
+        const auto digest = digest_of(it->request, protocol_.id_header());
         if (poison_requests_.needs_answer_report(digest)) {
             report_.survived.insert(digest);
         }
     }
     const duration service_time = now - it->sent_at;
     if (from != nullptr) {
-        from->on_answered(service_time, facts.load, now);
-        if (facts.load && facts.load->waiting == 0 && answer.status < status_bad_request) {
+        from->on_answered(service_time, metadata.load, now);
+        if (metadata.load && metadata.load->waiting == 0 && answer.status < status_bad_request) {
             auto& measured = report_.upstreams[it->upstream];
             ++measured.answers;
             measured.total += service_time;
         }
     }
     const bool success = answer.status / 100 == 2;
-    if ((success && !facts.authentic) || facts.unproven_refusal) {
+    if ((success && !metadata.authentic) || metadata.unproven_refusal) {
         it->in_doubt = true;
         on_failure(it, exchange_end::malformed);
         return;
@@ -91,7 +91,7 @@
             return;
         }
     }
-    finish(it, forms_.write_answer(std::move(answer)), "answered");
+    finish(it, protocol_.write_answer(std::move(answer)), "answered");
 }
 
 void dispatcher::on_failure(const job_ptr& it, exchange_end end) {
--- a/src/router/entry_process.cpp
+++ b/src/router/entry_process.cpp
@@ -31,11 +31,11 @@
 
 class entry_process {
 public:
-    entry_process(const settings_source& read_settings, const dialect& forms);
+    entry_process(const settings_source& read_settings, const protocol_adapter& protocol);
     void run();
 
 private:
-    void make_servers(const dialect& forms);
+    void make_servers(const protocol_adapter& protocol);
     void make_gates();
     void schedule_report();
     void start_stopping();
@@ -60,7 +60,7 @@
     time_point stopping_since_;
 };
 
-entry_process::entry_process(const settings_source& read_settings, const dialect& forms)
+entry_process::entry_process(const settings_source& read_settings, const protocol_adapter& protocol)
     : settings_(read_settings()),
       watch_(control_.io, read_settings,
              [this](const std::vector<std::string>& ips) { links_->set_seeds(ips); }) {
@@ -69,8 +69,8 @@
     options.retries.ratio = settings_.retry_ratio;
     options.retries.slack = settings_.retry_slack;
     options.retries.window = settings_.retry_window;
-    dispatcher_ = std::make_unique<dispatcher>(traffic_.io, forms, options, registry_);
-    make_servers(forms);
+    dispatcher_ = std::make_unique<dispatcher>(traffic_.io, protocol, options, registry_);
+    make_servers(protocol);
     metrics_ = make_metrics_server(traffic_.io, settings_, registry_);
     control_links::observer callbacks;
     callbacks.on_directory = [this](directory::snapshot_ptr held) {
@@ -113,7 +113,7 @@
     dispatcher_->set_gates(gates_.get());
 }
 
-void entry_process::make_servers(const dialect& forms) {
+void entry_process::make_servers(const protocol_adapter& protocol) {
     app::http_server_options options;
     options.listen = settings_.callers.value();
     options.max_body_bytes = std::size_t{64} * 1024 * 1024;
@@ -129,8 +129,8 @@
     app::http_server_options readiness;
     readiness.listen = settings_.readiness.value();
     readiness_ = std::make_unique<app::http_server>(
-        traffic_.io, readiness, [this, &forms](const app::http_request&, const app::http_reply& reply) {
-            reply(forms.write_readiness(ready_ && !stopping_));
+        traffic_.io, readiness, [this, &protocol](const app::http_request&, const app::http_reply& reply) {
+            reply(protocol.write_readiness(ready_ && !stopping_));
         });
 }
 
@@ -193,8 +193,8 @@
 
 } // namespace
 
-void run_entry(const settings_source& read_settings, const dialect& forms) {
-    entry_process(read_settings, forms).run();
+void run_entry(const settings_source& read_settings, const protocol_adapter& protocol) {
+    entry_process(read_settings, protocol).run();
 }
 
 } // namespace kingcupseam::router
--- a/src/router/gate_network.h
+++ b/src/router/gate_network.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "app/http_server.h"
-#include "router/dialect.h"
+#include "router/protocol_adapter.h"
 
 #include <kingcupseam/directory.h>
 #include <kingcupseam/types.h>
--- a/src/router/process.h
+++ b/src/router/process.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "router/dialect.h"
+#include "router/protocol_adapter.h"
 #include "router/settings.h"
 
 #include <functional>
@@ -12,8 +12,8 @@
 using settings_source = std::function<process_settings()>;
 
 /// Runs an entry until SIGTERM or SIGINT; then finishes what it has read.
-void run_entry(const settings_source& read_settings, const dialect& forms);
+void run_entry(const settings_source& read_settings, const protocol_adapter& protocol);
 /// Runs a control instance until SIGTERM or SIGINT.
-void run_control(const settings_source& read_settings, const dialect& forms);
+void run_control(const settings_source& read_settings, const protocol_adapter& protocol);
 
 } // namespace kingcupseam::router
--- a/src/router/dialect.h
+++ b/src/router/protocol_adapter.h
@@ -35,7 +35,7 @@
 };
 
 /// What an upstream's answer says beside its bytes.
-struct answer_facts {
+struct answer_metadata {
     bool not_executed = false;     ///< the upstream states that the request did not run
     bool unproven_refusal = false; ///< its status promises that nothing ran, but the upstream does not say so
     bool wrong_upstream = false;   ///< it is another upstream, or does not hold the key
@@ -72,12 +72,12 @@
 
 /// The forms in which callers, upstreams and operators speak. An implementation translates and decides
 /// nothing.
-class dialect {
+class protocol_adapter {
 public:
-    dialect() = default;
-    dialect(const dialect&) = delete;
-    dialect& operator=(const dialect&) = delete;
-    virtual ~dialect() = default;
+    protocol_adapter() = default;
+    protocol_adapter(const protocol_adapter&) = delete;
+    protocol_adapter& operator=(const protocol_adapter&) = delete;
+    virtual ~protocol_adapter() = default;
 
     /// Header that carries the request's id, also in answers of upstreams.
     virtual std::string id_header() const = 0;
@@ -87,8 +87,8 @@
     /// @param left time after which the upstream stops work
     virtual std::string write_attempt(const caller_request& request, const directory::upstream& target,
                                       duration left) const = 0;
-    virtual answer_facts read_answer(const caller_request& request,
-                                     const app::http_response& answer) const = 0;
+    virtual answer_metadata read_answer(const caller_request& request,
+                                        const app::http_response& answer) const = 0;
     /// Leaves out what concerns only the connection to the upstream.
     virtual app::http_response write_answer(app::http_response answer) const = 0;
     virtual app::http_response write_readiness(bool ready) const = 0;
--- a/src/router/request_digest.h
+++ b/src/router/request_digest.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "router/dialect.h"
 #include "router/poison_requests.h"
+#include "router/protocol_adapter.h"
 
 namespace kingcupseam::router {
 
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -2,7 +2,7 @@
 #include "configuration_codec.h"
 #include "json_fields.h"
 #include "process_settings.h"
-#include "provider_dialect.h"
+#include "provider_protocol.h"
 
 #include <kingcupseam/error.h>
 
@@ -124,22 +124,22 @@
 }
 
 TEST_CASE("requests are translated at the edge") {
-    const auto forms = make_provider_dialect();
+    const auto protocol = make_provider_protocol();
     const directory::upstream target{{"i-7", 1}, "s", "z", {"127.0.0.1", 1}, 2, false, false};
 
     SUBCASE("a caller's headers are passed on, but for those of the connection and of the system") {
-        const auto request = forms->read_request(request_of({{"Host", "h.example:80"},
-                                                             {"X-Request-Id", "abc"},
-                                                             {"X-Deadline-Ms", "2500"},
-                                                             {"X-Shard-Key", "77"},
-                                                             {"X-Target-Instance", "forged"},
-                                                             {"Connection", "keep-alive, X-Hop"},
-                                                             {"X-Hop", "1"},
-                                                             {"X-Other", "2"}}));
+        const auto request = protocol->read_request(request_of({{"Host", "h.example:80"},
+                                                                {"X-Request-Id", "abc"},
+                                                                {"X-Deadline-Ms", "2500"},
+                                                                {"X-Shard-Key", "77"},
+                                                                {"X-Target-Instance", "forged"},
+                                                                {"Connection", "keep-alive, X-Hop"},
+                                                                {"X-Hop", "1"},
+                                                                {"X-Other", "2"}}));
         CHECK(request.host == "h.example");
         CHECK(request.key == 77);
         CHECK(request.time_limit == std::chrono::milliseconds(2500));
-        const std::string bytes = forms->write_attempt(request, target, std::chrono::milliseconds(400));
+        const std::string bytes = protocol->write_attempt(request, target, std::chrono::milliseconds(400));
         CHECK(bytes.starts_with("GET /a/1?x=2 HTTP/1.1\r\n"));
         CHECK(bytes.find("X-Request-Id: abc\r\n") != std::string::npos);
         CHECK(bytes.find("X-Target-Instance: i-7\r\n") != std::string::npos);
@@ -150,24 +150,24 @@
     }
 
     SUBCASE("malformed limits and keys are refused") {
-        CHECK_THROWS_AS(forms->read_request(request_of({{"X-Deadline-Ms", "soon"}})), invalid_input);
-        CHECK_THROWS_AS(forms->read_request(request_of({{"X-Shard-Key", "65536"}})), invalid_input);
+        CHECK_THROWS_AS(protocol->read_request(request_of({{"X-Deadline-Ms", "soon"}})), invalid_input);
+        CHECK_THROWS_AS(protocol->read_request(request_of({{"X-Shard-Key", "65536"}})), invalid_input);
     }
 
     SUBCASE("an answer says whether the request ran") {
-        const auto facts = [&](int status, app::header_list headers) {
-            return forms->read_answer({}, {status, std::move(headers), {}, false});
+        const auto metadata = [&](int status, app::header_list headers) {
+            return protocol->read_answer({}, {status, std::move(headers), {}, false});
         };
-        CHECK(facts(503, {{"X-Not-Executed", "1"}}).not_executed);
-        CHECK(facts(421, {}).wrong_upstream);
+        CHECK(metadata(503, {{"X-Not-Executed", "1"}}).not_executed);
+        CHECK(metadata(421, {}).wrong_upstream);
         // Passing this on would promise that the request has not run.
-        CHECK(facts(503, {}).unproven_refusal);
-        CHECK_FALSE(facts(500, {}).unproven_refusal);
-        CHECK(facts(200, {{"X-Response-Signature", "s"}}).authentic);
-        CHECK_FALSE(facts(200, {}).authentic);
-        CHECK_FALSE(facts(200, {{"X-Response-Signature", "s"}, {"Content-Encoding", "gzip"}}).authentic);
-        CHECK(facts(200, {{"X-Backend-Load", "3,1,8"}}).load->waiting == 1);
-        CHECK_FALSE(facts(200, {{"X-Backend-Load", "3"}}).load);
+        CHECK(metadata(503, {}).unproven_refusal);
+        CHECK_FALSE(metadata(500, {}).unproven_refusal);
+        CHECK(metadata(200, {{"X-Response-Signature", "s"}}).authentic);
+        CHECK_FALSE(metadata(200, {}).authentic);
+        CHECK_FALSE(metadata(200, {{"X-Response-Signature", "s"}, {"Content-Encoding", "gzip"}}).authentic);
+        CHECK(metadata(200, {{"X-Backend-Load", "3,1,8"}}).load->waiting == 1);
+        CHECK_FALSE(metadata(200, {{"X-Backend-Load", "3"}}).load);
     }
 }
 
@@ -189,7 +189,7 @@
 // Guards against telling an operator that a valid desired state is invalid: on a day with a full disk a 400
 // ended its call, and the process went on with a log that it could not write.
 TEST_CASE("a failing disk does not make an order invalid") {
-    const auto forms = make_provider_dialect();
+    const auto protocol = make_provider_protocol();
     failing_control control;
     int status = 0;
     const auto serve = [&](const std::string& method, const std::string& path, const std::string& body) {
@@ -198,7 +198,7 @@
         order.target = path;
         order.body = body;
         status = 0;
-        forms->serve_control(
+        protocol->serve_control(
             std::move(order), [&](const app::http_response& it) { status = it.status; }, control);
     };
     CHECK_THROWS_AS(serve("PUT", "/config", desired_state), io_error);
--- a/tests/platform/dispatcher_harness.h
+++ b/tests/platform/dispatcher_harness.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "provider_dialect.h"
+#include "provider_protocol.h"
 #include "router/dispatcher.h"
 
 #include <doctest/doctest.h>
@@ -79,8 +79,8 @@
     static constexpr std::uint16_t first_port = 38471;
 
     explicit harness(fake_upstream::answering on_request)
-        : upstream(context, first_port, std::move(on_request)), forms(make_provider_dialect()),
-          under_test(context, *forms, options(), registry) {}
+        : upstream(context, first_port, std::move(on_request)), protocol(make_provider_protocol()),
+          under_test(context, *protocol, options(), registry) {}
 
     /// @param keyed the service's upstream owns ranges of keys
     /// @param port where the upstream listens
@@ -149,7 +149,7 @@
 
     asio::io_context context;
     fake_upstream upstream;
-    std::unique_ptr<router::dialect> forms;
+    std::unique_ptr<router::protocol_adapter> protocol;
     metrics::registry registry;
     router::dispatcher under_test;
     std::optional<http_response> answer;
