--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -120,7 +120,7 @@
 }
 
 void dispatcher::place(const job_ptr& it) {
-    lane* target = choose(it);
+    upstream_queue* target = choose(it);
     if (target == nullptr) {
         park(it);
         return;
@@ -128,7 +128,7 @@
     if (pass_on(it, *target)) {
         return;
     }
-    if (target->has_room(steady_now())) {
+    if (target->can_send(steady_now())) {
         send(it, *target);
     } else {
         enqueue(it, *target);
@@ -153,12 +153,12 @@
     });
 }
 
-void dispatcher::enqueue(const job_ptr& it, lane& target) {
+void dispatcher::enqueue(const job_ptr& it, upstream_queue& target) {
     const time_point now = steady_now();
     // Waiting beyond the target latency serves nobody in time: those behind would be late as well.
     const time_point limit = std::min(it->deadline, std::max(it->arrived + it->route.target_latency, now));
     it->upstream = target.target().incarnation.id;
-    if (now + target.expected_time(it->route.priority, now) > limit) {
+    if (now + target.expected_time_if_queued(it->route.priority, now) > limit) {
         end_unserved(it, status_bad_gateway, "crowded");
         return;
     }
@@ -168,7 +168,7 @@
     pump_later(target);
 }
 
-duration dispatcher::least_time(const lane& target) const {
+duration dispatcher::least_time(const upstream_queue& target) const {
     return std::max(settings_.min_attempt,
                     std::chrono::duration_cast<duration>(target.service_time() * settings_.min_service_part));
 }
@@ -182,9 +182,9 @@
     });
 }
 
-void dispatcher::pump_later(lane& target) {
+void dispatcher::pump_later(upstream_queue& target) {
     const time_point now = steady_now();
-    const time_point opens = target.opens_at(now);
+    const time_point opens = target.can_send_at(now);
     if (target.waiting() == 0 || opens <= now) {
         return;
     }
@@ -192,15 +192,15 @@
     auto& timer = pump_timers_.try_emplace(id, context_).first->second;
     timer.expires_after(opens - now);
     timer.async_wait([this, id](const asio::error_code& ec) {
-        const auto found = lanes_.find(id);
-        if (!ec && found != lanes_.end()) {
+        const auto found = queues_.find(id);
+        if (!ec && found != queues_.end()) {
             pump(*found->second);
         }
     });
 }
 
-void dispatcher::pump(lane& target) {
-    while (target.waiting() > 0 && target.has_room(steady_now())) {
+void dispatcher::pump(upstream_queue& target) {
+    while (target.waiting() > 0 && target.can_send(steady_now())) {
         const auto id = target.pop();
         const auto found = id ? jobs_.find(*id) : jobs_.end();
         if (found == jobs_.end()) {
@@ -209,7 +209,7 @@
         const job_ptr it = found->second;
         it->queued = false;
         it->wake.cancel();
-        lane* now_chosen = choose(it);
+        upstream_queue* now_chosen = choose(it);
         if (now_chosen == &target) {
             send(it, target);
         } else {
@@ -219,7 +219,7 @@
     pump_later(target);
 }
 
-void dispatcher::send(const job_ptr& it, lane& target) {
+void dispatcher::send(const job_ptr& it, upstream_queue& target) {
     const time_point now = steady_now();
     const duration left = it->deadline - now;
     if (left < settings_.min_attempt) {
@@ -251,7 +251,7 @@
     it->timer.cancel();
     it->wake.cancel();
     if (it->queued) {
-        if (const auto found = lanes_.find(it->upstream); found != lanes_.end()) {
+        if (const auto found = queues_.find(it->upstream); found != queues_.end()) {
             found->second->withdraw(it->route.priority, it->id);
         }
         it->queued = false;
@@ -294,7 +294,7 @@
     directory_changed_ = steady_now();
     report_crashes();
     std::vector<std::uint64_t> displaced;
-    for (auto it = lanes_.begin(); it != lanes_.end();) {
+    for (auto it = queues_.begin(); it != queues_.end();) {
         const auto* known = directory_->find(it->second->target().incarnation);
         if (known != nullptr && known->accepts_work()) {
             it->second->update(*known, use_of(known->service));
@@ -306,11 +306,11 @@
         }
         client_.forget(it->second->target().address);
         pump_timers_.erase(it->first);
-        it = lanes_.erase(it);
+        it = queues_.erase(it);
     }
     for (const auto& [id, it] : directory_->upstreams) {
-        if (it.accepts_work() && !lanes_.contains(id)) {
-            lanes_.emplace(id, std::make_unique<lane>(it, use_of(it.service)));
+        if (it.accepts_work() && !queues_.contains(id)) {
+            queues_.emplace(id, std::make_unique<upstream_queue>(it, use_of(it.service)));
         }
     }
     const auto parked = std::exchange(parked_, {});
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -1,11 +1,11 @@
 #pragma once
 
 #include "router/gate_network.h"
-#include "router/lane.h"
 #include "router/poison_requests.h"
 #include "router/protocol_adapter.h"
 #include "router/retry_allowance.h"
 #include "router/upstream_client.h"
+#include "router/upstream_queue.h"
 
 #include <kingcupseam/directory.h>
 #include <kingcupseam/metrics.h>
@@ -78,8 +78,8 @@
     void on_connection_closed(std::uint64_t connection);
     void set_directory(directory::snapshot_ptr held);
     /// Requests that upstreams have ended with, as the leader names them.
-    void set_poison_requests(const std::vector<poison_request>& named) {
-        poison_requests_.update(named, steady_now());
+    void set_poison_requests(const std::vector<poison_request>& listed) {
+        poison_requests_.update(listed, steady_now());
     }
     void set_entries(int entries) { entries_ = entries < 1 ? 1 : entries; }
     /// From now on every answer closes its connection.
@@ -99,24 +99,24 @@
     void start_timer(const job_ptr& it, duration limit);
     void place(const job_ptr& it);
     /// @returns false when the request is to be sent to the upstream from here
-    bool pass_on(const job_ptr& it, const lane& target);
+    bool pass_on(const job_ptr& it, const upstream_queue& target);
     void on_routed(const job_ptr& it, routed_result result);
     /// The caller, or the entry that passed it on, has left.
     void withdraw(const job_ptr& it);
     void park(const job_ptr& it);
-    void enqueue(const job_ptr& it, lane& target);
+    void enqueue(const job_ptr& it, upstream_queue& target);
     /// Time below which a waiting request is not sent to the upstream any more.
-    duration least_time(const lane& target) const;
+    duration least_time(const upstream_queue& target) const;
     void give_up_at(const job_ptr& it, time_point end);
-    void pump(lane& target);
+    void pump(upstream_queue& target);
     /// Pumps a lane that opens by the passing of time alone.
-    void pump_later(lane& target);
-    lane* choose(const job_ptr& it);
+    void pump_later(upstream_queue& target);
+    upstream_queue* choose(const job_ptr& it);
     /// For a service without keys: an upstream of this data centre while that one can answer in time.
-    lane* least_loaded(const job_ptr& it);
-    void send(const job_ptr& it, lane& target);
+    upstream_queue* least_loaded(const job_ptr& it);
+    void send(const job_ptr& it, upstream_queue& target);
     void on_exchange(const job_ptr& it, exchange_result result);
-    void on_answer(const job_ptr& it, lane* from, app::http_response answer);
+    void on_answer(const job_ptr& it, upstream_queue* from, app::http_response answer);
     void on_failure(const job_ptr& it, exchange_end end);
     void on_wrong_owner(const job_ptr& it, time_point now);
     /// Sends it again at once where it may run twice, to another upstream, within the allowance.
@@ -126,7 +126,7 @@
     /// Stops the work at the upstream by closing the connection.
     void cancel_attempt(const job_ptr& it);
     /// An upstream that is too slow to answer in time would otherwise look as fast as before.
-    void measure_overdue(const job_ptr& it, lane& at);
+    void measure_overdue(const job_ptr& it, upstream_queue& at);
     void on_timeout(const job_ptr& it);
     /// Refuses a request that surely has not run; one that may have run fails with @p status_in_doubt.
     void end_unserved(const job_ptr& it, int status_in_doubt, const char* reason);
@@ -138,7 +138,7 @@
     bool is_refused(const job_ptr& it) const;
     void report_crashes();
     bool has_key_ranges(const std::string& service) const;
-    lane_use use_of(const std::string& service) const;
+    upstream_use use_of(const std::string& service) const;
     const std::string* pick_service(const directory::route& target);
     retry_allowance& allowance(const std::string& service);
 
@@ -156,7 +156,7 @@
     bool refusing_ = false;
     std::uint64_t next_job_ = 1;
     std::unordered_map<std::uint64_t, job_ptr> jobs_;
-    std::map<std::string, std::unique_ptr<lane>> lanes_; ///< by upstream id
+    std::map<std::string, std::unique_ptr<upstream_queue>> queues_; ///< by upstream id
     std::map<std::string, asio::steady_timer> pump_timers_;
     std::vector<job_ptr> parked_;
     std::map<std::string, retry_allowance> allowances_;
--- a/src/router/dispatcher_answers.cpp
+++ b/src/router/dispatcher_answers.cpp
@@ -21,8 +21,8 @@
 } // namespace
 
 void dispatcher::on_exchange(const job_ptr& it, exchange_result result) {
-    const auto found = lanes_.find(it->upstream);
-    lane* const from = found == lanes_.end() ? nullptr : found->second.get();
+    const auto found = queues_.find(it->upstream);
+    upstream_queue* const from = found == queues_.end() ? nullptr : found->second.get();
     if (result.end == exchange_end::answered) {
         on_answer(it, from, std::move(result.answer));
     } else {
@@ -39,13 +39,13 @@
         on_failure(it, result.end);
     }
     // The lane may have gone while the answer was handled.
-    if (const auto again = lanes_.find(found == lanes_.end() ? std::string() : found->first);
-        again != lanes_.end()) {
+    if (const auto again = queues_.find(found == queues_.end() ? std::string() : found->first);
+        again != queues_.end()) {
         pump(*again->second);
     }
 }
 
-void dispatcher::on_answer(const job_ptr& it, lane* from, app::http_response answer) {
+void dispatcher::on_answer(const job_ptr& it, upstream_queue* from, app::http_response answer) {
     const time_point now = steady_now();
     const answer_metadata metadata = protocol_.read_answer(it->request, answer);
     if (metadata.not_executed) {
@@ -155,13 +155,13 @@
 void dispatcher::cancel_attempt(const job_ptr& it) {
     client_.cancel(it->exchange);
     it->exchange = 0;
-    if (const auto found = lanes_.find(it->upstream); found != lanes_.end()) {
+    if (const auto found = queues_.find(it->upstream); found != queues_.end()) {
         measure_overdue(it, *found->second);
         pump(*found->second);
     }
 }
 
-void dispatcher::measure_overdue(const job_ptr& it, lane& at) {
+void dispatcher::measure_overdue(const job_ptr& it, upstream_queue& at) {
     const duration elapsed = steady_now() - it->sent_at;
     if (elapsed > at.service_time()) {
         auto& measured = report_.upstreams[it->upstream];
--- a/src/router/dispatcher_choice.cpp
+++ b/src/router/dispatcher_choice.cpp
@@ -20,8 +20,8 @@
     return known != directory_->config->services.end() && known->second.key_ranges;
 }
 
-lane_use dispatcher::use_of(const std::string& service) const {
-    return gates_ != nullptr && has_key_ranges(service) ? lane_use::gate : lane_use::shared;
+upstream_use dispatcher::use_of(const std::string& service) const {
+    return gates_ != nullptr && has_key_ranges(service) ? upstream_use::exclusive : upstream_use::shared;
 }
 
 const std::string* dispatcher::pick_service(const directory::route& route) {
@@ -48,20 +48,20 @@
     return best;
 }
 
-lane* dispatcher::least_loaded(const job_ptr& it) {
+upstream_queue* dispatcher::least_loaded(const job_ptr& it) {
     const time_point now = steady_now();
     struct choice {
-        lane* target = nullptr;
+        upstream_queue* target = nullptr;
         double cost = 0;
     };
     choice local;
     choice remote;
-    for (const auto& [id, candidate] : lanes_) {
+    for (const auto& [id, candidate] : queues_) {
         if (candidate->target().service != it->service || !candidate->target().accepts_work()) {
             continue;
         }
         double cost = candidate->cost(now);
-        if (now < candidate->closed_until() || id == it->last_failed) {
+        if (now < candidate->ejected_until() || id == it->last_failed) {
             cost += unusable_cost;
         }
         choice& best = candidate->target().data_center == settings_.data_center ? local : remote;
@@ -72,12 +72,12 @@
     if (local.target == nullptr || remote.target == nullptr) {
         return local.target != nullptr ? local.target : remote.target;
     }
-    const bool in_time = local.cost < unusable_cost &&
-                         now + local.target->time_to_answer(now) <= it->arrived + it->route.target_latency;
+    const bool in_time = local.cost < unusable_cost && now + local.target->expected_time_if_sent(now) <=
+                                                           it->arrived + it->route.target_latency;
     return in_time || local.cost <= remote.cost * settings_.remote_cost_factor ? local.target : remote.target;
 }
 
-lane* dispatcher::choose(const job_ptr& it) {
+upstream_queue* dispatcher::choose(const job_ptr& it) {
     if (!it->keyed) {
         return least_loaded(it);
     }
@@ -89,8 +89,8 @@
     if (owner == nullptr || !owner->accepts_work()) {
         return nullptr;
     }
-    const auto found = lanes_.find(owner->incarnation.id);
-    return found == lanes_.end() ? nullptr : found->second.get();
+    const auto found = queues_.find(owner->incarnation.id);
+    return found == queues_.end() ? nullptr : found->second.get();
 }
 
 } // namespace kingcupseam::router
--- a/src/router/dispatcher_gates.cpp
+++ b/src/router/dispatcher_gates.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-bool dispatcher::pass_on(const job_ptr& it, const lane& target) {
+bool dispatcher::pass_on(const job_ptr& it, const upstream_queue& target) {
     if (gates_ == nullptr || !it->keyed || it->direct || it->hops >= max_hops ||
         it->request.body.size() > max_routed_body_bytes) {
         return false;
--- /dev/null
+++ b/src/router/upstream_queue.cpp
@@ -0,0 +1,159 @@
+#include "router/upstream_queue.h"
+
+#include <algorithm>
+
+namespace kingcupseam::router {
+
+namespace {
+
+// An upstream queues some requests itself; its answers tell when that queue grows.
+constexpr double max_window_per_slot = 4;
+// Ten entries that share two slots need a fifth each; a smaller window takes seconds to grow again.
+constexpr double min_window = 0.1;
+constexpr double window_increment = 0.25;           ///< growth with each answer that reports a short queue
+constexpr double small_window_growth_factor = 1.25; ///< factor instead, below one
+constexpr double idle_window_growth_factor = 2;     ///< factor instead, below one, when nothing waits there
+constexpr double overload_decrease_factor =
+    0.8; ///< with each answer that reports more waiting requests than slots
+constexpr double shed_decrease_factor = 0.5;
+constexpr duration shed_pause = std::chrono::milliseconds(20);
+/// Failures in a row after which a lane closes, and for how long at first and at most.
+constexpr std::uint32_t failures_before_ejection = 2;
+constexpr duration base_ejection_time = std::chrono::milliseconds(200);
+constexpr std::uint32_t max_ejection_doublings = 3;
+constexpr double service_time_weight = 0.15; ///< of the newest answer in the moving average
+constexpr duration load_validity = std::chrono::milliseconds(500);
+
+} // namespace
+
+upstream_queue::upstream_queue(directory::upstream target, upstream_use use)
+    : target_(std::move(target)), use_(use), window_(std::max(target_.slots, 1)) {}
+
+bool upstream_queue::can_send(time_point now) const {
+    if (now < can_send_at(now)) {
+        return false;
+    }
+    return in_flight_ == 0 || in_flight_ < static_cast<std::uint32_t>(window_);
+}
+
+time_point upstream_queue::can_send_at(time_point now) const {
+    time_point result = std::max(now, ejected_until_);
+    if (in_flight_ > 0) {
+        result = std::max(result, shed_until_);
+    }
+    return window_ < 1 ? std::max(result, next_send_) : result;
+}
+
+void upstream_queue::on_sent(time_point now) {
+    ++in_flight_;
+    next_send_ = now + std::chrono::duration_cast<duration>(service_time_ / std::max(window_, min_window));
+}
+
+void upstream_queue::on_answered(duration service_time, const std::optional<reported_load>& load,
+                                 time_point now) {
+    on_withdrawn();
+    consecutive_failures_ = 0;
+    ejected_until_ = {};
+    update_service_time(service_time);
+    if (load) {
+        load_ = *load;
+        load_at_ = now;
+    }
+    if (use_ == upstream_use::shared) {
+        adapt_window(load);
+    }
+}
+
+void upstream_queue::adapt_window(const std::optional<reported_load>& load) {
+    const double limit = std::max(target_.slots, 1) * max_window_per_slot;
+    if (load && load->waiting > target_.slots) {
+        window_ = std::max(window_ * overload_decrease_factor, min_window);
+    } else if (window_ < 1) {
+        window_ *= load && load->waiting == 0 ? idle_window_growth_factor : small_window_growth_factor;
+    } else {
+        window_ = std::min(window_ + window_increment, limit);
+    }
+}
+
+void upstream_queue::on_shed(const std::optional<reported_load>& load, time_point now) {
+    on_withdrawn();
+    consecutive_failures_ = 0;
+    if (load) {
+        load_ = *load;
+        load_at_ = now;
+        if (load->waiting <= target_.slots) {
+            return;
+        }
+    }
+    if (use_ == upstream_use::shared) {
+        window_ = std::max(window_ * shed_decrease_factor, min_window);
+    }
+    shed_until_ = now + shed_pause;
+}
+
+void upstream_queue::on_failed(time_point now) {
+    on_withdrawn();
+    ++consecutive_failures_;
+    if (consecutive_failures_ >= failures_before_ejection) {
+        const auto doublings =
+            std::min(consecutive_failures_ - failures_before_ejection, max_ejection_doublings);
+        ejected_until_ = now + base_ejection_time * (1 << doublings);
+        if (use_ == upstream_use::shared) {
+            window_ = 1;
+        }
+    }
+}
+
+void upstream_queue::on_overdue(duration elapsed) {
+    on_withdrawn();
+    if (elapsed > service_time_) {
+        update_service_time(elapsed);
+    }
+}
+
+void upstream_queue::update_service_time(duration service_time) {
+    service_time_ = std::chrono::duration_cast<duration>(service_time_ * (1 - service_time_weight) +
+                                                         service_time * service_time_weight);
+}
+
+void upstream_queue::on_withdrawn() {
+    if (in_flight_ > 0) {
+        --in_flight_;
+    }
+}
+
+std::optional<std::uint64_t> upstream_queue::pop() {
+    if (waiting_.empty()) {
+        return std::nullopt;
+    }
+    const std::uint64_t result = waiting_.begin()->second;
+    waiting_.erase(waiting_.begin());
+    return result;
+}
+
+duration upstream_queue::expected_time_if_queued(std::int32_t priority, time_point now) const {
+    const auto ahead = static_cast<double>(std::count_if(
+        waiting_.begin(), waiting_.end(), [&](const auto& it) { return it.first.first <= priority; }));
+    return (can_send_at(now) - now) +
+           std::chrono::duration_cast<duration>(service_time_ * (1 + ahead / std::max(window_, min_window)));
+}
+
+double upstream_queue::outstanding_requests(time_point now) const {
+    const double local = in_flight_ + static_cast<double>(waiting_.size());
+    return now - load_at_ < load_validity
+               ? std::max(local, static_cast<double>(load_.running + load_.waiting))
+               : local;
+}
+
+duration upstream_queue::expected_time_if_sent(time_point now) const {
+    const double slots = std::max(target_.slots, 1);
+    const double ahead = std::max(outstanding_requests(now) + 1 - slots, 0.0);
+    return std::chrono::duration_cast<duration>(service_time_ * (1 + ahead / slots));
+}
+
+double upstream_queue::cost(time_point now) const {
+    return (outstanding_requests(now) + 1) / std::max(target_.slots, 1) *
+           static_cast<double>(service_time_.count());
+}
+
+} // namespace kingcupseam::router
--- a/tests/router/lane_test.cpp
+++ b/tests/router/upstream_queue_test.cpp
@@ -1,4 +1,4 @@
-#include "router/lane.h"
+#include "router/upstream_queue.h"
 
 #include <doctest/doctest.h>
 
@@ -11,10 +11,10 @@
 constexpr duration service_time = milliseconds(100);
 
 /// Sends whenever the lane has room for 10 s from @p start; each answer reports @p load.
-int sends(lane& target, const reported_load& load, time_point start) {
+int count_sends(upstream_queue& target, const reported_load& load, time_point start) {
     int n = 0;
     for (time_point now = start; now < start + std::chrono::seconds(10); now += milliseconds(5)) {
-        if (target.has_room(now)) {
+        if (target.can_send(now)) {
             target.on_sent(now);
             target.on_answered(service_time, load, now);
             ++n;
@@ -26,14 +26,14 @@
 } // namespace
 
 TEST_CASE("a lane shares an upstream with other entries") {
-    lane target({{"u", 1}, "s", "d", {"127.0.0.1", 1}, 2, false, false}, lane_use::shared);
+    upstream_queue target({{"u", 1}, "s", "d", {"127.0.0.1", 1}, 2, false, false}, upstream_use::shared);
     const time_point now{std::chrono::seconds(1)};
 
     SUBCASE("it starts with as many requests as the upstream has slots") {
         target.on_sent(now);
-        CHECK(target.has_room(now));
+        CHECK(target.can_send(now));
         target.on_sent(now);
-        CHECK_FALSE(target.has_room(now));
+        CHECK_FALSE(target.can_send(now));
     }
 
     // Guards against ten entries that each keep a request at an upstream with two slots, which makes all
@@ -41,9 +41,9 @@
     SUBCASE(
         "while more wait there than it has slots, the lane sends less than one request in a service time") {
         // Two slots serve 200 requests of 100 ms in 10 s: 20 for each of ten entries.
-        CHECK(sends(target, {2, 8, 2}, now) <= 20);
+        CHECK(count_sends(target, {2, 8, 2}, now) <= 20);
         SUBCASE("and it recovers when the queue there is short") {
-            CHECK(sends(target, {1, 0, 2}, now + std::chrono::seconds(10)) > 500);
+            CHECK(count_sends(target, {1, 0, 2}, now + std::chrono::seconds(10)) > 500);
         }
     }
 
@@ -55,7 +55,7 @@
             target.on_shed(reported_load{1, 0, 2}, now);
         }
         target.on_sent(now);
-        CHECK(target.has_room(now));
+        CHECK(target.can_send(now));
     }
 
     SUBCASE("an upstream that is full closes the window") {
@@ -64,7 +64,7 @@
             target.on_shed(reported_load{2, 8, 2}, now);
         }
         target.on_sent(now);
-        CHECK_FALSE(target.has_room(now + milliseconds(50)));
+        CHECK_FALSE(target.can_send(now + milliseconds(50)));
     }
 
     SUBCASE("the lower rank number goes first, then the earlier request") {
@@ -80,31 +80,31 @@
     SUBCASE("after two failures in a row it closes for a while") {
         target.on_sent(now);
         target.on_failed(now);
-        CHECK(target.has_room(now));
+        CHECK(target.can_send(now));
         target.on_sent(now);
         target.on_failed(now);
-        CHECK_FALSE(target.has_room(now + milliseconds(100)));
-        CHECK(target.opens_at(now) == now + milliseconds(200));
-        CHECK(target.has_room(now + milliseconds(201)));
+        CHECK_FALSE(target.can_send(now + milliseconds(100)));
+        CHECK(target.can_send_at(now) == now + milliseconds(200));
+        CHECK(target.can_send(now + milliseconds(201)));
     }
 }
 
 // Guards against a gate that leaves slots idle, or fills the upstream's own queue, where rank counts for
 // nothing.
 TEST_CASE("the lane of a gate has as many requests in flight as the upstream has slots") {
-    lane target({{"u", 1}, "s", "d", {"127.0.0.1", 1}, 2, false, false}, lane_use::gate);
+    upstream_queue target({{"u", 1}, "s", "d", {"127.0.0.1", 1}, 2, false, false}, upstream_use::exclusive);
     const time_point now{std::chrono::seconds(1)};
     target.on_sent(now);
-    CHECK(target.has_room(now));
+    CHECK(target.can_send(now));
     target.on_sent(now);
-    CHECK_FALSE(target.has_room(now));
+    CHECK_FALSE(target.can_send(now));
 
     SUBCASE("also after answers that report an empty upstream") {
         for (int i = 0; i < 50; ++i) {
             target.on_answered(service_time, reported_load{0, 0, 2}, now);
             target.on_sent(now);
         }
-        CHECK_FALSE(target.has_room(now));
+        CHECK_FALSE(target.can_send(now));
     }
     SUBCASE("also after answers that report a crowded one") {
         for (int i = 0; i < 50; ++i) {
@@ -112,12 +112,12 @@
             target.on_sent(now);
         }
         target.on_answered(service_time, reported_load{2, 8, 2}, now);
-        CHECK(target.has_room(now));
+        CHECK(target.can_send(now));
     }
     SUBCASE("and waits a moment when the upstream is full all the same") {
         target.on_shed(reported_load{2, 8, 2}, now);
-        CHECK_FALSE(target.has_room(now));
-        CHECK(target.has_room(now + milliseconds(50)));
+        CHECK_FALSE(target.can_send(now));
+        CHECK(target.can_send(now + milliseconds(50)));
     }
 }
 
