--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -1,6 +1,6 @@
 #include "router/dispatcher.h"
 
-#include "router/job.h"
+#include "router/in_flight_request.h"
 #include "router/request_digest.h"
 
 #include <kingcupseam/error.h>
@@ -43,10 +43,10 @@
     try {
         auto request = protocol_.read_request(std::move(received));
         request.connection = connection;
-        const auto it =
-            std::make_shared<job>(context_, next_job_++, std::move(request), std::move(reply), now);
+        const auto it = std::make_shared<in_flight_request>(context_, next_request_id_++, std::move(request),
+                                                            std::move(reply), now);
         it->header_bytes = header_bytes;
-        jobs_.emplace(it->id, it);
+        requests_.emplace(it->id, it);
         begin(it);
     } catch (const invalid_input& e) {
         spdlog::warn("request refused reason=malformed field={}", e.field());
@@ -54,7 +54,7 @@
     }
 }
 
-void dispatcher::begin(const job_ptr& it) {
+void dispatcher::begin(const request_ptr& it) {
     if (refusing_) {
         refuse(it, "stopping");
         return;
@@ -94,7 +94,7 @@
     place(it);
 }
 
-bool dispatcher::exceeds_limits(const job_ptr& it) {
+bool dispatcher::exceeds_limits(const request_ptr& it) {
     const directory::caller_limits& limits = directory_->config->limits;
     const auto exceeds = [](std::size_t size, std::int64_t limit) {
         return limit > 0 && size > static_cast<std::size_t>(limit);
@@ -110,16 +110,16 @@
     return false;
 }
 
-void dispatcher::start_timer(const job_ptr& it, duration limit) {
+void dispatcher::start_timer(const request_ptr& it, duration limit) {
     it->timer.expires_after(limit);
     it->timer.async_wait([this, it](const asio::error_code& ec) {
-        if (!ec && jobs_.contains(it->id)) {
+        if (!ec && requests_.contains(it->id)) {
             on_timeout(it);
         }
     });
 }
 
-void dispatcher::place(const job_ptr& it) {
+void dispatcher::place(const request_ptr& it) {
     upstream_queue* target = choose(it);
     if (target == nullptr) {
         park(it);
@@ -135,7 +135,7 @@
     }
 }
 
-void dispatcher::park(const job_ptr& it) {
+void dispatcher::park(const request_ptr& it) {
     if (it->parked) {
         return;
     }
@@ -145,7 +145,7 @@
     const duration limit = std::min(settings_.max_park, (it->deadline - now) / 2);
     it->wake.expires_after(limit);
     it->wake.async_wait([this, it](const asio::error_code& ec) {
-        if (!ec && it->parked && jobs_.contains(it->id)) {
+        if (!ec && it->parked && requests_.contains(it->id)) {
             std::erase(parked_, it);
             it->parked = false;
             end_unserved(it, status_bad_gateway, "no-owner");
@@ -153,7 +153,7 @@
     });
 }
 
-void dispatcher::enqueue(const job_ptr& it, upstream_queue& target) {
+void dispatcher::enqueue(const request_ptr& it, upstream_queue& target) {
     const time_point now = steady_now();
     // Waiting beyond the target latency serves nobody in time: those behind would be late as well.
     const time_point limit = std::min(it->deadline, std::max(it->arrived + it->route.target_latency, now));
@@ -173,10 +173,10 @@
                     std::chrono::duration_cast<duration>(target.service_time() * settings_.min_service_part));
 }
 
-void dispatcher::give_up_at(const job_ptr& it, time_point end) {
+void dispatcher::give_up_at(const request_ptr& it, time_point end) {
     it->wake.expires_after(std::max(end - steady_now(), duration::zero()));
     it->wake.async_wait([this, it](const asio::error_code& ec) {
-        if (!ec && it->queued && jobs_.contains(it->id)) {
+        if (!ec && it->queued && requests_.contains(it->id)) {
             end_unserved(it, status_bad_gateway, "overtaken");
         }
     });
@@ -202,11 +202,11 @@
 void dispatcher::pump(upstream_queue& target) {
     while (target.waiting() > 0 && target.can_send(steady_now())) {
         const auto id = target.pop();
-        const auto found = id ? jobs_.find(*id) : jobs_.end();
-        if (found == jobs_.end()) {
+        const auto found = id ? requests_.find(*id) : requests_.end();
+        if (found == requests_.end()) {
             continue;
         }
-        const job_ptr it = found->second;
+        const request_ptr it = found->second;
         it->queued = false;
         it->wake.cancel();
         upstream_queue* now_chosen = choose(it);
@@ -219,7 +219,7 @@
     pump_later(target);
 }
 
-void dispatcher::send(const job_ptr& it, upstream_queue& target) {
+void dispatcher::send(const request_ptr& it, upstream_queue& target) {
     const time_point now = steady_now();
     const duration left = it->deadline - now;
     if (left < settings_.min_attempt) {
@@ -241,13 +241,13 @@
     request.timeout = left;
     it->exchange = client_.send(std::move(request), [this, it](exchange_result result) {
         it->exchange = 0;
-        if (jobs_.contains(it->id)) {
+        if (requests_.contains(it->id)) {
             on_exchange(it, std::move(result));
         }
     });
 }
 
-void dispatcher::remove(const job_ptr& it) {
+void dispatcher::remove(const request_ptr& it) {
     it->timer.cancel();
     it->wake.cancel();
     if (it->queued) {
@@ -260,12 +260,12 @@
         std::erase(parked_, it);
         it->parked = false;
     }
-    jobs_.erase(it->id);
+    requests_.erase(it->id);
 }
 
 void dispatcher::on_connection_closed(std::uint64_t connection) {
-    std::vector<job_ptr> left;
-    for (const auto& [id, it] : jobs_) {
+    std::vector<request_ptr> left;
+    for (const auto& [id, it] : requests_) {
         if (it->request.connection == connection) {
             left.push_back(it);
         }
@@ -275,7 +275,7 @@
     }
 }
 
-void dispatcher::withdraw(const job_ptr& it) {
+void dispatcher::withdraw(const request_ptr& it) {
     if (it->exchange != 0) {
         cancel_attempt(it);
     }
@@ -320,8 +320,8 @@
         place(it);
     }
     for (const auto id : displaced) {
-        if (const auto found = jobs_.find(id); found != jobs_.end()) {
-            const job_ptr it = found->second;
+        if (const auto found = requests_.find(id); found != requests_.end()) {
+            const request_ptr it = found->second;
             it->queued = false;
             place(it);
         }
@@ -332,7 +332,7 @@
     return allowances_.try_emplace(service, settings_.retries).first->second;
 }
 
-bool dispatcher::is_refused(const job_ptr& it) const {
+bool dispatcher::is_refused(const request_ptr& it) const {
     return !poison_requests_.empty() &&
            poison_requests_.is_refused(digest_of(it->request, protocol_.id_header()), steady_now());
 }
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -86,56 +86,56 @@
     void stop() { stopping_ = true; }
     /// From now on new requests are refused, so that none is cut off by the end of the process.
     void refuse_new() { refusing_ = true; }
-    std::size_t requests_in_progress() const noexcept { return jobs_.size(); }
+    std::size_t requests_in_progress() const noexcept { return requests_.size(); }
     traffic_report take_report();
 
 private:
-    struct job;
-    using job_ptr = std::shared_ptr<job>;
+    struct in_flight_request;
+    using request_ptr = std::shared_ptr<in_flight_request>;
 
-    void begin(const job_ptr& it);
+    void begin(const request_ptr& it);
     /// Ends a request whose headers or body are longer than the configuration allows.
-    bool exceeds_limits(const job_ptr& it);
-    void start_timer(const job_ptr& it, duration limit);
-    void place(const job_ptr& it);
+    bool exceeds_limits(const request_ptr& it);
+    void start_timer(const request_ptr& it, duration limit);
+    void place(const request_ptr& it);
     /// @returns false when the request is to be sent to the upstream from here
-    bool pass_on(const job_ptr& it, const upstream_queue& target);
-    void on_routed(const job_ptr& it, routed_result result);
+    bool pass_on(const request_ptr& it, const upstream_queue& target);
+    void on_routed(const request_ptr& it, routed_result result);
     /// The caller, or the entry that passed it on, has left.
-    void withdraw(const job_ptr& it);
-    void park(const job_ptr& it);
-    void enqueue(const job_ptr& it, upstream_queue& target);
+    void withdraw(const request_ptr& it);
+    void park(const request_ptr& it);
+    void enqueue(const request_ptr& it, upstream_queue& target);
     /// Time below which a waiting request is not sent to the upstream any more.
     duration least_time(const upstream_queue& target) const;
-    void give_up_at(const job_ptr& it, time_point end);
+    void give_up_at(const request_ptr& it, time_point end);
     void pump(upstream_queue& target);
     /// Pumps a lane that opens by the passing of time alone.
     void pump_later(upstream_queue& target);
-    upstream_queue* choose(const job_ptr& it);
+    upstream_queue* choose(const request_ptr& it);
     /// For a service without keys: an upstream of this data centre while that one can answer in time.
-    upstream_queue* least_loaded(const job_ptr& it);
-    void send(const job_ptr& it, upstream_queue& target);
-    void on_exchange(const job_ptr& it, exchange_result result);
-    void on_answer(const job_ptr& it, upstream_queue* from, app::http_response answer);
-    void on_failure(const job_ptr& it, exchange_end end);
-    void on_wrong_owner(const job_ptr& it, time_point now);
+    upstream_queue* least_loaded(const request_ptr& it);
+    void send(const request_ptr& it, upstream_queue& target);
+    void on_exchange(const request_ptr& it, exchange_result result);
+    void on_answer(const request_ptr& it, upstream_queue* from, app::http_response answer);
+    void on_failure(const request_ptr& it, exchange_end end);
+    void on_wrong_owner(const request_ptr& it, time_point now);
     /// Sends it again at once where it may run twice, to another upstream, within the allowance.
-    bool try_again(const job_ptr& it, time_point now);
+    bool try_again(const request_ptr& it, time_point now);
     /// Sends it again after @p delay, or ends it when there is no time or allowance left.
-    void retry_or_end(const job_ptr& it, const char* reason, duration delay);
+    void retry_or_end(const request_ptr& it, const char* reason, duration delay);
     /// Stops the work at the upstream by closing the connection.
-    void cancel_attempt(const job_ptr& it);
+    void cancel_attempt(const request_ptr& it);
     /// An upstream that is too slow to answer in time would otherwise look as fast as before.
-    void measure_overdue(const job_ptr& it, upstream_queue& at);
-    void on_timeout(const job_ptr& it);
+    void measure_overdue(const request_ptr& it, upstream_queue& at);
+    void on_timeout(const request_ptr& it);
     /// Refuses a request that surely has not run; one that may have run fails with @p status_in_doubt.
-    void end_unserved(const job_ptr& it, int status_in_doubt, const char* reason);
-    void refuse(const job_ptr& it, const char* reason);
-    void fail(const job_ptr& it, int status, const char* reason);
-    void finish(const job_ptr& it, app::http_response answer, const char* outcome);
-    void remove(const job_ptr& it);
+    void end_unserved(const request_ptr& it, int status_in_doubt, const char* reason);
+    void refuse(const request_ptr& it, const char* reason);
+    void fail(const request_ptr& it, int status, const char* reason);
+    void finish(const request_ptr& it, app::http_response answer, const char* outcome);
+    void remove(const request_ptr& it);
     /// True for a request that has ended too many upstreams.
-    bool is_refused(const job_ptr& it) const;
+    bool is_refused(const request_ptr& it) const;
     void report_crashes();
     bool has_key_ranges(const std::string& service) const;
     upstream_use use_of(const std::string& service) const;
@@ -154,11 +154,11 @@
     int entries_ = 1;
     bool stopping_ = false;
     bool refusing_ = false;
-    std::uint64_t next_job_ = 1;
-    std::unordered_map<std::uint64_t, job_ptr> jobs_;
+    std::uint64_t next_request_id_ = 1;
+    std::unordered_map<std::uint64_t, request_ptr> requests_;
     std::map<std::string, std::unique_ptr<upstream_queue>> queues_; ///< by upstream id
     std::map<std::string, asio::steady_timer> pump_timers_;
-    std::vector<job_ptr> parked_;
+    std::vector<request_ptr> parked_;
     std::map<std::string, retry_allowance> allowances_;
     std::map<std::string, std::map<std::string, double>> shares_; ///< smooth weighted round robin, by route
     traffic_report report_;
--- a/src/router/dispatcher_answers.cpp
+++ b/src/router/dispatcher_answers.cpp
@@ -1,5 +1,5 @@
 #include "router/dispatcher.h"
-#include "router/job.h"
+#include "router/in_flight_request.h"
 #include "router/request_digest.h"
 
 #include <spdlog/spdlog.h>
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void dispatcher::on_exchange(const job_ptr& it, exchange_result result) {
+void dispatcher::on_exchange(const request_ptr& it, exchange_result result) {
     const auto found = queues_.find(it->upstream);
     upstream_queue* const from = found == queues_.end() ? nullptr : found->second.get();
     if (result.end == exchange_end::answered) {
@@ -45,7 +45,7 @@
     }
 }
 
-void dispatcher::on_answer(const job_ptr& it, upstream_queue* from, app::http_response answer) {
+void dispatcher::on_answer(const request_ptr& it, upstream_queue* from, app::http_response answer) {
     const time_point now = steady_now();
     const answer_metadata metadata = protocol_.read_answer(it->request, answer);
     if (metadata.not_executed) {
@@ -94,7 +94,7 @@
     finish(it, protocol_.write_answer(std::move(answer)), "answered");
 }
 
-void dispatcher::on_failure(const job_ptr& it, exchange_end end) {
+void dispatcher::on_failure(const request_ptr& it, exchange_end end) {
     const time_point now = steady_now();
     it->last_failed = it->upstream;
     if (end == exchange_end::not_sent) {
@@ -114,7 +114,7 @@
     fail(it, status_bad_gateway, end == exchange_end::malformed ? "malformed-answer" : "broken");
 }
 
-bool dispatcher::try_again(const job_ptr& it, time_point now) {
+bool dispatcher::try_again(const request_ptr& it, time_point now) {
     const bool may_repeat = it->route.runs == execution::idempotent && it->runs_possible < it->route.attempts;
     if (!may_repeat || !allowance(it->service).try_repeat(entries_, now)) {
         return false;
@@ -123,7 +123,7 @@
     return true;
 }
 
-void dispatcher::on_wrong_owner(const job_ptr& it, time_point now) {
+void dispatcher::on_wrong_owner(const request_ptr& it, time_point now) {
     it->last_failed = it->keyed ? it->last_failed : it->upstream;
     if (!it->keyed || now - directory_changed_ < settings_.grant_delay) {
         retry_or_end(it, "wrong-owner", settings_.shed_backoff / 2);
@@ -135,7 +135,7 @@
     }
 }
 
-void dispatcher::retry_or_end(const job_ptr& it, const char* reason, duration delay) {
+void dispatcher::retry_or_end(const request_ptr& it, const char* reason, duration delay) {
     const time_point now = steady_now();
     const bool time_left = now + delay + settings_.min_attempt < it->deadline;
     const bool repeat = it->arrivals > 0;
@@ -146,13 +146,13 @@
     }
     it->wake.expires_after(delay);
     it->wake.async_wait([this, it](const asio::error_code& ec) {
-        if (!ec && jobs_.contains(it->id)) {
+        if (!ec && requests_.contains(it->id)) {
             place(it);
         }
     });
 }
 
-void dispatcher::cancel_attempt(const job_ptr& it) {
+void dispatcher::cancel_attempt(const request_ptr& it) {
     client_.cancel(it->exchange);
     it->exchange = 0;
     if (const auto found = queues_.find(it->upstream); found != queues_.end()) {
@@ -161,7 +161,7 @@
     }
 }
 
-void dispatcher::measure_overdue(const job_ptr& it, upstream_queue& at) {
+void dispatcher::measure_overdue(const request_ptr& it, upstream_queue& at) {
     const duration elapsed = steady_now() - it->sent_at;
     if (elapsed > at.service_time()) {
         auto& measured = report_.upstreams[it->upstream];
@@ -171,7 +171,7 @@
     at.on_overdue(elapsed);
 }
 
-void dispatcher::on_timeout(const job_ptr& it) {
+void dispatcher::on_timeout(const request_ptr& it) {
     if (it->exchange != 0) {
         cancel_attempt(it);
         it->in_doubt = true;
@@ -188,7 +188,7 @@
     end_unserved(it, status_gateway_timeout, it->in_doubt ? "timeout" : "deadline");
 }
 
-void dispatcher::end_unserved(const job_ptr& it, int status_in_doubt, const char* reason) {
+void dispatcher::end_unserved(const request_ptr& it, int status_in_doubt, const char* reason) {
     if (it->in_doubt) {
         fail(it, status_in_doubt, reason);
     } else {
@@ -196,7 +196,7 @@
     }
 }
 
-void dispatcher::refuse(const job_ptr& it, const char* reason) {
+void dispatcher::refuse(const request_ptr& it, const char* reason) {
     app::http_response answer{status_unavailable, {}, {}, false};
     answer.headers.emplace_back("Retry-After", fmt::format("{:.3f}", seconds(settings_.retry_after)));
     spdlog::info("request id={} outcome=not-run reason={} service={} upstream={} age_ms={} directory={}",
@@ -205,7 +205,7 @@
     finish(it, std::move(answer), reason);
 }
 
-void dispatcher::fail(const job_ptr& it, int status, const char* reason) {
+void dispatcher::fail(const request_ptr& it, int status, const char* reason) {
     spdlog::info("request id={} outcome={} status={} reason={} service={} upstream={} age_ms={} directory={}",
                  it->request.id, it->in_doubt ? "unknown" : "failed", status, reason, it->service,
                  it->upstream, (steady_now() - it->arrived).count() / microseconds_per_millisecond,
@@ -213,7 +213,7 @@
     finish(it, {status, {}, {}, false}, reason);
 }
 
-void dispatcher::finish(const job_ptr& it, app::http_response answer, const char* outcome) {
+void dispatcher::finish(const request_ptr& it, app::http_response answer, const char* outcome) {
     registry_
         .counter_of("requests_total", "requests by service and outcome",
                     {{"service", it->service}, {"outcome", outcome}})
--- a/src/router/dispatcher_choice.cpp
+++ b/src/router/dispatcher_choice.cpp
@@ -1,5 +1,5 @@
 #include "router/dispatcher.h"
-#include "router/job.h"
+#include "router/in_flight_request.h"
 
 // Which service, upstream and lane a request goes to.
 
@@ -48,7 +48,7 @@
     return best;
 }
 
-upstream_queue* dispatcher::least_loaded(const job_ptr& it) {
+upstream_queue* dispatcher::least_loaded(const request_ptr& it) {
     const time_point now = steady_now();
     struct choice {
         upstream_queue* target = nullptr;
@@ -77,7 +77,7 @@
     return in_time || local.cost <= remote.cost * settings_.remote_cost_factor ? local.target : remote.target;
 }
 
-upstream_queue* dispatcher::choose(const job_ptr& it) {
+upstream_queue* dispatcher::choose(const request_ptr& it) {
     if (!it->keyed) {
         return least_loaded(it);
     }
--- a/src/router/dispatcher_gates.cpp
+++ b/src/router/dispatcher_gates.cpp
@@ -1,5 +1,5 @@
 #include "router/dispatcher.h"
-#include "router/job.h"
+#include "router/in_flight_request.h"
 
 #include <spdlog/spdlog.h>
 
@@ -19,7 +19,7 @@
 
 } // namespace
 
-bool dispatcher::pass_on(const job_ptr& it, const upstream_queue& target) {
+bool dispatcher::pass_on(const request_ptr& it, const upstream_queue& target) {
     if (gates_ == nullptr || !it->keyed || it->direct || it->hops >= max_hops ||
         it->request.body.size() > max_routed_body_bytes) {
         return false;
@@ -46,14 +46,14 @@
     start_timer(it, out.left + gate_answer_time);
     it->routed = gates_->pass_on(it->gate, out, [this, it](routed_result result) {
         it->routed = 0;
-        if (jobs_.contains(it->id)) {
+        if (requests_.contains(it->id)) {
             on_routed(it, std::move(result));
         }
     });
     return true;
 }
 
-void dispatcher::on_routed(const job_ptr& it, routed_result result) {
+void dispatcher::on_routed(const request_ptr& it, routed_result result) {
     if (result.end == routed_end::answered) {
         finish(it, std::move(result.answer), "routed");
         return;
@@ -78,8 +78,8 @@
         return false;
     }
     const time_point now = steady_now();
-    const auto it =
-        std::make_shared<job>(context_, next_job_++, std::move(received.request), std::move(reply), now);
+    const auto it = std::make_shared<in_flight_request>(context_, next_request_id_++,
+                                                        std::move(received.request), std::move(reply), now);
     it->request.connection = connection;
     it->routed_number = number;
     it->hops = received.hops;
@@ -91,7 +91,7 @@
     it->route.target_latency = received.target_left;
     it->route.timeout = received.left;
     it->deadline = now + received.left;
-    jobs_.emplace(it->id, it);
+    requests_.emplace(it->id, it);
     start_timer(it, received.left);
     if (is_refused(it)) {
         refuse(it, "crashes-upstreams");
@@ -102,9 +102,9 @@
 }
 
 void dispatcher::withdraw_routed(std::uint64_t connection, std::uint64_t number) {
-    for (const auto& [id, it] : jobs_) {
+    for (const auto& [id, it] : requests_) {
         if (it->request.connection == connection && it->routed_number == number) {
-            const job_ptr found = it;
+            const request_ptr found = it;
             withdraw(found);
             return;
         }
--- a/src/router/job.h
+++ b/src/router/in_flight_request.h
@@ -15,9 +15,9 @@
 inline constexpr int status_gateway_timeout = 504;
 
 /// One request of a caller on its way.
-struct dispatcher::job {
-    job(asio::io_context& context, std::uint64_t number, caller_request received, app::http_reply answer_to,
-        time_point now)
+struct dispatcher::in_flight_request {
+    in_flight_request(asio::io_context& context, std::uint64_t number, caller_request received,
+                      app::http_reply answer_to, time_point now)
         : id(number), request(std::move(received)), reply(std::move(answer_to)), arrived(now), timer(context),
           wake(context) {}
 
