--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -227,7 +227,7 @@
         return;
     }
     if (it->arrivals == 0) {
-        allowance(it->service).on_first_arrival(now);
+        budget_of(it->service).on_first_send(now);
     }
     ++it->arrivals;
     ++it->runs_possible;
@@ -328,8 +328,8 @@
     }
 }
 
-retry_allowance& dispatcher::allowance(const std::string& service) {
-    return allowances_.try_emplace(service, settings_.retries).first->second;
+retry_budget& dispatcher::budget_of(const std::string& service) {
+    return retry_budgets_.try_emplace(service, settings_.retries).first->second;
 }
 
 bool dispatcher::is_refused(const request_ptr& it) const {
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -3,7 +3,7 @@
 #include "router/gate_network.h"
 #include "router/poison_requests.h"
 #include "router/protocol_adapter.h"
-#include "router/retry_allowance.h"
+#include "router/retry_budget.h"
 #include "router/upstream_client.h"
 #include "router/upstream_queue.h"
 
@@ -24,7 +24,7 @@
 
 struct dispatcher_options {
     std::string data_center; ///< of this entry
-    retry_allowance_options retries;
+    retry_budget_options retries;
     /// Wait for a key that has no owner at the moment; a handover takes the length of a request.
     duration max_park = std::chrono::milliseconds(600);
     /// An owner that is new to this entry may not have its grant yet; after this time a refused key is on its
@@ -140,7 +140,7 @@
     bool has_key_ranges(const std::string& service) const;
     upstream_use use_of(const std::string& service) const;
     const std::string* pick_service(const directory::route& target);
-    retry_allowance& allowance(const std::string& service);
+    retry_budget& budget_of(const std::string& service);
 
     asio::io_context& context_;
     const protocol_adapter& protocol_;
@@ -159,7 +159,7 @@
     std::map<std::string, std::unique_ptr<upstream_queue>> queues_; ///< by upstream id
     std::map<std::string, asio::steady_timer> pump_timers_;
     std::vector<request_ptr> parked_;
-    std::map<std::string, retry_allowance> allowances_;
+    std::map<std::string, retry_budget> retry_budgets_;
     std::map<std::string, std::map<std::string, double>> shares_; ///< smooth weighted round robin, by route
     traffic_report report_;
     interrupted_requests interrupted_;
--- a/src/router/dispatcher_answers.cpp
+++ b/src/router/dispatcher_answers.cpp
@@ -116,7 +116,7 @@
 
 bool dispatcher::try_again(const request_ptr& it, time_point now) {
     const bool may_repeat = it->route.runs == execution::idempotent && it->runs_possible < it->route.attempts;
-    if (!may_repeat || !allowance(it->service).try_repeat(entries_, now)) {
+    if (!may_repeat || !budget_of(it->service).try_retry(entries_, now)) {
         return false;
     }
     place(it);
@@ -127,7 +127,7 @@
     it->last_failed = it->keyed ? it->last_failed : it->upstream;
     if (!it->keyed || now - directory_changed_ < settings_.grant_delay) {
         retry_or_end(it, "wrong-owner", settings_.shed_backoff / 2);
-    } else if (allowance(it->service).try_repeat(entries_, now)) {
+    } else if (budget_of(it->service).try_retry(entries_, now)) {
         // The key is being released: the directory will name the next owner.
         park(it);
     } else {
@@ -140,7 +140,7 @@
     const bool time_left = now + delay + settings_.min_attempt < it->deadline;
     const bool repeat = it->arrivals > 0;
     if (!time_left || now - it->arrived > it->route.target_latency ||
-        (repeat && !allowance(it->service).try_repeat(entries_, now))) {
+        (repeat && !budget_of(it->service).try_retry(entries_, now))) {
         end_unserved(it, status_bad_gateway, reason);
         return;
     }
--- a/tests/router/retry_allowance_test.cpp
+++ b/tests/router/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-#include "router/retry_allowance.h"
+#include "router/retry_budget.h"
 
 #include <doctest/doctest.h>
 
@@ -9,33 +9,33 @@
 TEST_CASE("all entries together keep the allowance of repeats") {
     constexpr int entries = 10;
     constexpr int requests = 200;
-    const retry_allowance_options settings{0.2, 60, std::chrono::seconds(10)};
+    const retry_budget_options settings{0.2, 60, std::chrono::seconds(10)};
     const time_point start{std::chrono::seconds(100)};
-    int repeats = 0;
+    int retries = 0;
     for (int entry = 0; entry < entries; ++entry) {
-        retry_allowance allowance(settings);
+        retry_budget budget(settings);
         for (int i = 0; i < requests; ++i) {
             const time_point now = start + std::chrono::milliseconds(40) * i;
-            allowance.on_first_arrival(now);
-            while (allowance.try_repeat(entries, now)) {
-                ++repeats;
+            budget.on_first_send(now);
+            while (budget.try_retry(entries, now)) {
+                ++retries;
             }
         }
     }
-    CHECK(repeats > 0);
-    CHECK(repeats <= settings.ratio * requests * entries + settings.slack);
+    CHECK(retries > 0);
+    CHECK(retries <= settings.ratio * requests * entries + settings.slack);
 }
 
 TEST_CASE("an entry without requests has its share of the slack, again in each window") {
-    retry_allowance allowance({0.2, 60, std::chrono::seconds(10)});
+    retry_budget budget({0.2, 60, std::chrono::seconds(10)});
     const time_point now{std::chrono::seconds(100)};
-    int repeats = 0;
-    while (allowance.try_repeat(10, now)) {
-        ++repeats;
+    int retries = 0;
+    while (budget.try_retry(10, now)) {
+        ++retries;
     }
-    CHECK(repeats <= 6);
-    CHECK_FALSE(allowance.try_repeat(10, now + std::chrono::seconds(10)));
-    CHECK(allowance.try_repeat(10, now + std::chrono::milliseconds(10'001)));
+    CHECK(retries <= 6);
+    CHECK_FALSE(budget.try_retry(10, now + std::chrono::seconds(10)));
+    CHECK(budget.try_retry(10, now + std::chrono::milliseconds(10'001)));
 }
 
 } // namespace kingcupseam::router
