--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -47,15 +47,15 @@
                                                             std::move(reply), now);
         it->header_bytes = header_bytes;
         requests_.emplace(it->id, it);
-        begin(it);
+        admit(it);
     } catch (const invalid_input& e) {
         spdlog::warn("request refused reason=malformed field={}", e.field());
-        reply({status_bad_request, {}, {}, stopping_});
+        reply({status_bad_request, {}, {}, draining_});
     }
 }
 
-void dispatcher::begin(const request_ptr& it) {
-    if (refusing_) {
+void dispatcher::admit(const request_ptr& it) {
+    if (refusing_new_requests_) {
         refuse(it, "stopping");
         return;
     }
@@ -63,7 +63,7 @@
         refuse(it, "no-configuration");
         return;
     }
-    if (exceeds_limits(it)) {
+    if (reject_if_too_large(it)) {
         return;
     }
     const auto path = std::string_view(it->request.target).substr(0, it->request.target.find('?'));
@@ -91,10 +91,10 @@
     const duration timeout = route->timeout > duration::zero() ? route->timeout : default_time_limit;
     it->deadline = it->arrived + std::min(timeout, it->request.time_limit.value_or(default_time_limit));
     start_timer(it, it->deadline - it->arrived);
-    place(it);
+    dispatch(it);
 }
 
-bool dispatcher::exceeds_limits(const request_ptr& it) {
+bool dispatcher::reject_if_too_large(const request_ptr& it) {
     const directory::caller_limits& limits = directory_->config->limits;
     const auto exceeds = [](std::size_t size, std::int64_t limit) {
         return limit > 0 && size > static_cast<std::size_t>(limit);
@@ -119,128 +119,128 @@
     });
 }
 
-void dispatcher::place(const request_ptr& it) {
-    upstream_queue* target = choose(it);
-    if (target == nullptr) {
-        park(it);
+void dispatcher::dispatch(const request_ptr& it) {
+    upstream_queue* queue = select_upstream(it);
+    if (queue == nullptr) {
+        wait_for_owner(it);
         return;
     }
-    if (pass_on(it, *target)) {
+    if (pass_on(it, *queue)) {
         return;
     }
-    if (target->can_send(steady_now())) {
-        send(it, *target);
+    if (queue->can_send(steady_now())) {
+        send(it, *queue);
     } else {
-        enqueue(it, *target);
+        enqueue(it, *queue);
     }
 }
 
-void dispatcher::park(const request_ptr& it) {
-    if (it->parked) {
+void dispatcher::wait_for_owner(const request_ptr& it) {
+    if (it->waiting_for_owner) {
         return;
     }
-    it->parked = true;
-    parked_.push_back(it);
+    it->waiting_for_owner = true;
+    waiting_for_owner_.push_back(it);
     const time_point now = steady_now();
-    const duration limit = std::min(settings_.max_park, (it->deadline - now) / 2);
-    it->wake.expires_after(limit);
-    it->wake.async_wait([this, it](const asio::error_code& ec) {
-        if (!ec && it->parked && requests_.contains(it->id)) {
-            std::erase(parked_, it);
-            it->parked = false;
-            end_unserved(it, status_bad_gateway, "no-owner");
+    const duration limit = std::min(settings_.max_owner_wait, (it->deadline - now) / 2);
+    it->wait_timer.expires_after(limit);
+    it->wait_timer.async_wait([this, it](const asio::error_code& ec) {
+        if (!ec && it->waiting_for_owner && requests_.contains(it->id)) {
+            std::erase(waiting_for_owner_, it);
+            it->waiting_for_owner = false;
+            refuse_or_fail(it, status_bad_gateway, "no-owner");
         }
     });
 }
 
-void dispatcher::enqueue(const request_ptr& it, upstream_queue& target) {
+void dispatcher::enqueue(const request_ptr& it, upstream_queue& queue) {
     const time_point now = steady_now();
     // Waiting beyond the target latency serves nobody in time: those behind would be late as well.
     const time_point limit = std::min(it->deadline, std::max(it->arrived + it->route.target_latency, now));
-    it->upstream = target.target().incarnation.id;
-    if (now + target.expected_time_if_queued(it->route.priority, now) > limit) {
-        end_unserved(it, status_bad_gateway, "crowded");
+    it->upstream = queue.target().incarnation.id;
+    if (now + queue.expected_time_if_queued(it->route.priority, now) > limit) {
+        refuse_or_fail(it, status_bad_gateway, "crowded");
         return;
     }
     it->queued = true;
-    target.push(it->route.priority, it->id);
-    give_up_at(it, it->deadline - least_time(target));
-    pump_later(target);
+    queue.push(it->route.priority, it->id);
+    start_queue_timer(it, it->deadline - min_useful_time(queue));
+    schedule_send_queued(queue);
 }
 
-duration dispatcher::least_time(const upstream_queue& target) const {
-    return std::max(settings_.min_attempt,
-                    std::chrono::duration_cast<duration>(target.service_time() * settings_.min_service_part));
+duration dispatcher::min_useful_time(const upstream_queue& queue) const {
+    return std::max(settings_.min_attempt_time, std::chrono::duration_cast<duration>(
+                                                    queue.service_time() * settings_.min_service_fraction));
 }
 
-void dispatcher::give_up_at(const request_ptr& it, time_point end) {
-    it->wake.expires_after(std::max(end - steady_now(), duration::zero()));
-    it->wake.async_wait([this, it](const asio::error_code& ec) {
+void dispatcher::start_queue_timer(const request_ptr& it, time_point end) {
+    it->wait_timer.expires_after(std::max(end - steady_now(), duration::zero()));
+    it->wait_timer.async_wait([this, it](const asio::error_code& ec) {
         if (!ec && it->queued && requests_.contains(it->id)) {
-            end_unserved(it, status_bad_gateway, "overtaken");
+            refuse_or_fail(it, status_bad_gateway, "overtaken");
         }
     });
 }
 
-void dispatcher::pump_later(upstream_queue& target) {
+void dispatcher::schedule_send_queued(upstream_queue& queue) {
     const time_point now = steady_now();
-    const time_point opens = target.can_send_at(now);
-    if (target.waiting() == 0 || opens <= now) {
+    const time_point opens = queue.can_send_at(now);
+    if (queue.waiting() == 0 || opens <= now) {
         return;
     }
-    const std::string& id = target.target().incarnation.id;
-    auto& timer = pump_timers_.try_emplace(id, context_).first->second;
+    const std::string& id = queue.target().incarnation.id;
+    auto& timer = send_timers_.try_emplace(id, context_).first->second;
     timer.expires_after(opens - now);
     timer.async_wait([this, id](const asio::error_code& ec) {
         const auto found = queues_.find(id);
         if (!ec && found != queues_.end()) {
-            pump(*found->second);
+            send_queued(*found->second);
         }
     });
 }
 
-void dispatcher::pump(upstream_queue& target) {
-    while (target.waiting() > 0 && target.can_send(steady_now())) {
-        const auto id = target.pop();
+void dispatcher::send_queued(upstream_queue& queue) {
+    while (queue.waiting() > 0 && queue.can_send(steady_now())) {
+        const auto id = queue.pop();
         const auto found = id ? requests_.find(*id) : requests_.end();
         if (found == requests_.end()) {
             continue;
         }
         const request_ptr it = found->second;
         it->queued = false;
-        it->wake.cancel();
-        upstream_queue* now_chosen = choose(it);
-        if (now_chosen == &target) {
-            send(it, target);
+        it->wait_timer.cancel();
+        upstream_queue* now_chosen = select_upstream(it);
+        if (now_chosen == &queue) {
+            send(it, queue);
         } else {
-            place(it);
+            dispatch(it);
         }
     }
-    pump_later(target);
+    schedule_send_queued(queue);
 }
 
-void dispatcher::send(const request_ptr& it, upstream_queue& target) {
+void dispatcher::send(const request_ptr& it, upstream_queue& queue) {
     const time_point now = steady_now();
     const duration left = it->deadline - now;
-    if (left < settings_.min_attempt) {
-        end_unserved(it, status_gateway_timeout, "deadline");
+    if (left < settings_.min_attempt_time) {
+        refuse_or_fail(it, status_gateway_timeout, "deadline");
         return;
     }
-    if (it->arrivals == 0) {
+    if (it->send_count == 0) {
         budget_of(it->service).on_first_send(now);
     }
-    ++it->arrivals;
-    ++it->runs_possible;
+    ++it->send_count;
+    ++it->possible_runs;
     it->sent_at = now;
-    it->upstream = target.target().incarnation.id;
-    target.on_sent(now);
+    it->upstream = queue.target().incarnation.id;
+    queue.on_sent(now);
     exchange request;
-    request.target = target.target().address;
-    request.bytes = protocol_.write_attempt(it->request, target.target(), left);
+    request.target = queue.target().address;
+    request.bytes = protocol_.write_attempt(it->request, queue.target(), left);
     request.id = it->request.id;
     request.timeout = left;
-    it->exchange = client_.send(std::move(request), [this, it](exchange_result result) {
-        it->exchange = 0;
+    it->exchange_id = client_.send(std::move(request), [this, it](exchange_result result) {
+        it->exchange_id = 0;
         if (requests_.contains(it->id)) {
             on_exchange(it, std::move(result));
         }
@@ -249,16 +249,16 @@
 
 void dispatcher::remove(const request_ptr& it) {
     it->timer.cancel();
-    it->wake.cancel();
+    it->wait_timer.cancel();
     if (it->queued) {
         if (const auto found = queues_.find(it->upstream); found != queues_.end()) {
             found->second->withdraw(it->route.priority, it->id);
         }
         it->queued = false;
     }
-    if (it->parked) {
-        std::erase(parked_, it);
-        it->parked = false;
+    if (it->waiting_for_owner) {
+        std::erase(waiting_for_owner_, it);
+        it->waiting_for_owner = false;
     }
     requests_.erase(it->id);
 }
@@ -276,7 +276,7 @@
 }
 
 void dispatcher::withdraw(const request_ptr& it) {
-    if (it->exchange != 0) {
+    if (it->exchange_id != 0) {
         cancel_attempt(it);
     }
     if (it->routed != 0) {
@@ -291,7 +291,7 @@
         routes_ = std::make_shared<const directory::route_index>(held->config);
     }
     directory_ = std::move(held);
-    directory_changed_ = steady_now();
+    directory_updated_at_ = steady_now();
     report_crashes();
     std::vector<std::uint64_t> displaced;
     for (auto it = queues_.begin(); it != queues_.end();) {
@@ -305,7 +305,7 @@
             displaced.push_back(*id);
         }
         client_.forget(it->second->target().address);
-        pump_timers_.erase(it->first);
+        send_timers_.erase(it->first);
         it = queues_.erase(it);
     }
     for (const auto& [id, it] : directory_->upstreams) {
@@ -313,17 +313,17 @@
             queues_.emplace(id, std::make_unique<upstream_queue>(it, use_of(it.service)));
         }
     }
-    const auto parked = std::exchange(parked_, {});
-    for (const auto& it : parked) {
-        it->parked = false;
-        it->wake.cancel();
-        place(it);
+    const auto waiting = std::exchange(waiting_for_owner_, {});
+    for (const auto& it : waiting) {
+        it->waiting_for_owner = false;
+        it->wait_timer.cancel();
+        dispatch(it);
     }
     for (const auto id : displaced) {
         if (const auto found = requests_.find(id); found != requests_.end()) {
             const request_ptr it = found->second;
             it->queued = false;
-            place(it);
+            dispatch(it);
         }
     }
 }
--- a/src/router/dispatcher_answers.cpp
+++ b/src/router/dispatcher_answers.cpp
@@ -31,7 +31,7 @@
                 interrupted_.add(digest_of(it->request, protocol_.id_header()), from->target(), steady_now());
             }
             if (result.end == exchange_end::timeout && it->deadline - it->sent_at < it->route.timeout / 2) {
-                measure_overdue(it, *from); // had little time: no failure of the upstream
+                record_overdue(it, *from); // had little time: no failure of the upstream
             } else {
                 from->on_failed(steady_now());
             }
@@ -41,7 +41,7 @@
     // The lane may have gone while the answer was handled.
     if (const auto again = queues_.find(found == queues_.end() ? std::string() : found->first);
         again != queues_.end()) {
-        pump(*again->second);
+        send_queued(*again->second);
     }
 }
 
@@ -49,7 +49,7 @@
     const time_point now = steady_now();
     const answer_metadata metadata = protocol_.read_answer(it->request, answer);
     if (metadata.not_executed) {
-        --it->runs_possible;
+        --it->possible_runs;
         if (from != nullptr) {
             if (metadata.wrong_upstream) {
                 from->on_withdrawn();
@@ -85,9 +85,9 @@
         on_failure(it, exchange_end::malformed);
         return;
     }
-    if (!success && answer.status >= 500 && it->deadline - now > settings_.min_attempt * 2) {
-        it->last_failed = it->upstream;
-        if (try_again(it, now)) {
+    if (!success && answer.status >= 500 && it->deadline - now > settings_.min_attempt_time * 2) {
+        it->last_failed_upstream = it->upstream;
+        if (retry_immediately(it, now)) {
             return;
         }
     }
@@ -96,40 +96,40 @@
 
 void dispatcher::on_failure(const request_ptr& it, exchange_end end) {
     const time_point now = steady_now();
-    it->last_failed = it->upstream;
+    it->last_failed_upstream = it->upstream;
     if (end == exchange_end::not_sent) {
-        --it->runs_possible;
-        --it->arrivals;
+        --it->possible_runs;
+        --it->send_count;
         retry_or_end(it, "unreachable", settings_.shed_backoff);
         return;
     }
     it->in_doubt = true;
-    if (end == exchange_end::timeout || now + settings_.min_attempt >= it->deadline) {
+    if (end == exchange_end::timeout || now + settings_.min_attempt_time >= it->deadline) {
         fail(it, status_gateway_timeout, "timeout");
         return;
     }
-    if (try_again(it, now)) {
+    if (retry_immediately(it, now)) {
         return;
     }
     fail(it, status_bad_gateway, end == exchange_end::malformed ? "malformed-answer" : "broken");
 }
 
-bool dispatcher::try_again(const request_ptr& it, time_point now) {
-    const bool may_repeat = it->route.runs == execution::idempotent && it->runs_possible < it->route.attempts;
+bool dispatcher::retry_immediately(const request_ptr& it, time_point now) {
+    const bool may_repeat = it->route.runs == execution::idempotent && it->possible_runs < it->route.attempts;
     if (!may_repeat || !budget_of(it->service).try_retry(entries_, now)) {
         return false;
     }
-    place(it);
+    dispatch(it);
     return true;
 }
 
 void dispatcher::on_wrong_owner(const request_ptr& it, time_point now) {
-    it->last_failed = it->keyed ? it->last_failed : it->upstream;
-    if (!it->keyed || now - directory_changed_ < settings_.grant_delay) {
+    it->last_failed_upstream = it->keyed ? it->last_failed_upstream : it->upstream;
+    if (!it->keyed || now - directory_updated_at_ < settings_.grant_delay) {
         retry_or_end(it, "wrong-owner", settings_.shed_backoff / 2);
     } else if (budget_of(it->service).try_retry(entries_, now)) {
         // The key is being released: the directory will name the next owner.
-        park(it);
+        wait_for_owner(it);
     } else {
         retry_or_end(it, "wrong-owner", settings_.shed_backoff);
     }
@@ -137,31 +137,31 @@
 
 void dispatcher::retry_or_end(const request_ptr& it, const char* reason, duration delay) {
     const time_point now = steady_now();
-    const bool time_left = now + delay + settings_.min_attempt < it->deadline;
-    const bool repeat = it->arrivals > 0;
+    const bool time_left = now + delay + settings_.min_attempt_time < it->deadline;
+    const bool repeat = it->send_count > 0;
     if (!time_left || now - it->arrived > it->route.target_latency ||
         (repeat && !budget_of(it->service).try_retry(entries_, now))) {
-        end_unserved(it, status_bad_gateway, reason);
+        refuse_or_fail(it, status_bad_gateway, reason);
         return;
     }
-    it->wake.expires_after(delay);
-    it->wake.async_wait([this, it](const asio::error_code& ec) {
+    it->wait_timer.expires_after(delay);
+    it->wait_timer.async_wait([this, it](const asio::error_code& ec) {
         if (!ec && requests_.contains(it->id)) {
-            place(it);
+            dispatch(it);
         }
     });
 }
 
 void dispatcher::cancel_attempt(const request_ptr& it) {
-    client_.cancel(it->exchange);
-    it->exchange = 0;
+    client_.cancel(it->exchange_id);
+    it->exchange_id = 0;
     if (const auto found = queues_.find(it->upstream); found != queues_.end()) {
-        measure_overdue(it, *found->second);
-        pump(*found->second);
+        record_overdue(it, *found->second);
+        send_queued(*found->second);
     }
 }
 
-void dispatcher::measure_overdue(const request_ptr& it, upstream_queue& at) {
+void dispatcher::record_overdue(const request_ptr& it, upstream_queue& at) {
     const duration elapsed = steady_now() - it->sent_at;
     if (elapsed > at.service_time()) {
         auto& measured = report_.upstreams[it->upstream];
@@ -172,7 +172,7 @@
 }
 
 void dispatcher::on_timeout(const request_ptr& it) {
-    if (it->exchange != 0) {
+    if (it->exchange_id != 0) {
         cancel_attempt(it);
         it->in_doubt = true;
         fail(it, status_gateway_timeout, "timeout");
@@ -185,10 +185,10 @@
         fail(it, status_gateway_timeout, "gate-timeout");
         return;
     }
-    end_unserved(it, status_gateway_timeout, it->in_doubt ? "timeout" : "deadline");
+    refuse_or_fail(it, status_gateway_timeout, it->in_doubt ? "timeout" : "deadline");
 }
 
-void dispatcher::end_unserved(const request_ptr& it, int status_in_doubt, const char* reason) {
+void dispatcher::refuse_or_fail(const request_ptr& it, int status_in_doubt, const char* reason) {
     if (it->in_doubt) {
         fail(it, status_in_doubt, reason);
     } else {
@@ -228,10 +228,10 @@
                      "directory={}",
                      it->request.id, it->service, it->upstream,
                      (now - it->arrived).count() / microseconds_per_millisecond,
-                     (now - it->sent_at).count() / microseconds_per_millisecond, it->arrivals,
+                     (now - it->sent_at).count() / microseconds_per_millisecond, it->send_count,
                      directory_->index);
     }
-    answer.close = answer.close || stopping_;
+    answer.close = answer.close || draining_;
     remove(it);
     it->reply(std::move(answer));
 }
--- a/src/router/dispatcher_choice.cpp
+++ b/src/router/dispatcher_choice.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Above the cost of any lane: an upstream that failed is taken only when nothing else is there.
-constexpr double unusable_cost = 1e12;
+constexpr double unavailable_penalty = 1e12;
 
 } // namespace
 
@@ -28,7 +28,7 @@
     if (route.targets.size() == 1) {
         return &route.targets.front().service;
     }
-    auto& credits = shares_[route.name];
+    auto& credits = split_credits_[route.name];
     const std::string* best = nullptr;
     double total = 0;
     for (const auto& it : route.targets) {
@@ -48,10 +48,10 @@
     return best;
 }
 
-upstream_queue* dispatcher::least_loaded(const request_ptr& it) {
+upstream_queue* dispatcher::select_least_loaded(const request_ptr& it) {
     const time_point now = steady_now();
     struct choice {
-        upstream_queue* target = nullptr;
+        upstream_queue* queue = nullptr;
         double cost = 0;
     };
     choice local;
@@ -61,25 +61,25 @@
             continue;
         }
         double cost = candidate->cost(now);
-        if (now < candidate->ejected_until() || id == it->last_failed) {
-            cost += unusable_cost;
+        if (now < candidate->ejected_until() || id == it->last_failed_upstream) {
+            cost += unavailable_penalty;
         }
         choice& best = candidate->target().data_center == settings_.data_center ? local : remote;
-        if (best.target == nullptr || cost < best.cost) {
+        if (best.queue == nullptr || cost < best.cost) {
             best = {candidate.get(), cost};
         }
     }
-    if (local.target == nullptr || remote.target == nullptr) {
-        return local.target != nullptr ? local.target : remote.target;
+    if (local.queue == nullptr || remote.queue == nullptr) {
+        return local.queue != nullptr ? local.queue : remote.queue;
     }
-    const bool in_time = local.cost < unusable_cost && now + local.target->expected_time_if_sent(now) <=
-                                                           it->arrived + it->route.target_latency;
-    return in_time || local.cost <= remote.cost * settings_.remote_cost_factor ? local.target : remote.target;
+    const bool in_time = local.cost < unavailable_penalty && now + local.queue->expected_time_if_sent(now) <=
+                                                                 it->arrived + it->route.target_latency;
+    return in_time || local.cost <= remote.cost * settings_.remote_cost_factor ? local.queue : remote.queue;
 }
 
-upstream_queue* dispatcher::choose(const request_ptr& it) {
+upstream_queue* dispatcher::select_upstream(const request_ptr& it) {
     if (!it->keyed) {
-        return least_loaded(it);
+        return select_least_loaded(it);
     }
     const auto* range = directory_->owner_of(it->service, *it->request.key);
     if (range == nullptr) {
--- a/src/router/dispatcher_gates.cpp
+++ b/src/router/dispatcher_gates.cpp
@@ -19,16 +19,16 @@
 
 } // namespace
 
-bool dispatcher::pass_on(const request_ptr& it, const upstream_queue& target) {
+bool dispatcher::pass_on(const request_ptr& it, const upstream_queue& queue) {
     if (gates_ == nullptr || !it->keyed || it->direct || it->hops >= max_hops ||
         it->request.body.size() > max_routed_body_bytes) {
         return false;
     }
     const time_point now = steady_now();
-    if (it->deadline - now < settings_.min_attempt) {
+    if (it->deadline - now < settings_.min_attempt_time) {
         return false;
     }
-    it->gate = gates_->gate_of(target.target());
+    it->gate = gates_->gate_of(queue.target());
     if (it->gate.empty()) {
         return false;
     }
@@ -41,7 +41,7 @@
     out.hops = it->hops + 1;
     out.left = it->deadline - now;
     out.target_left = it->arrived + it->route.target_latency - now;
-    it->upstream = target.target().incarnation.id;
+    it->upstream = queue.target().incarnation.id;
     it->sent_at = now;
     start_timer(it, out.left + gate_answer_time);
     it->routed = gates_->pass_on(it->gate, out, [this, it](routed_result result) {
@@ -60,13 +60,13 @@
     }
     it->direct = true;
     if (result.end == routed_end::not_taken) {
-        place(it);
+        dispatch(it);
         return;
     }
     it->in_doubt = true;
-    ++it->arrivals;
-    ++it->runs_possible;
-    if (try_again(it, steady_now())) {
+    ++it->send_count;
+    ++it->possible_runs;
+    if (retry_immediately(it, steady_now())) {
         return;
     }
     fail(it, status_bad_gateway, "gate-lost");
@@ -74,7 +74,7 @@
 
 bool dispatcher::handle_routed(routed_request received, std::uint64_t connection, std::uint64_t number,
                                app::http_reply reply) {
-    if (refusing_ || !directory_->config) {
+    if (refusing_new_requests_ || !directory_->config) {
         return false;
     }
     const time_point now = steady_now();
@@ -97,7 +97,7 @@
         refuse(it, "crashes-upstreams");
         return true;
     }
-    place(it);
+    dispatch(it);
     return true;
 }
 
--- a/src/router/entry_process.cpp
+++ b/src/router/entry_process.cpp
@@ -154,7 +154,7 @@
     links_->leave();
     asio::post(traffic_.io, [this] {
         stopping_since_ = steady_now();
-        dispatcher_->stop();
+        dispatcher_->start_draining();
         poll_stop();
     });
 }
@@ -162,11 +162,11 @@
 void entry_process::poll_stop() {
     const duration elapsed = steady_now() - stopping_since_;
     if (elapsed > refuse_after) {
-        dispatcher_->refuse_new();
+        dispatcher_->refuse_new_requests();
     }
-    if ((elapsed > unready_time && dispatcher_->requests_in_progress() == 0) ||
+    if ((elapsed > unready_time && dispatcher_->requests_in_flight() == 0) ||
         elapsed > settings_.grace_period - stop_reserve) {
-        spdlog::info("entry stopped requests_cut={}", dispatcher_->requests_in_progress());
+        spdlog::info("entry stopped requests_cut={}", dispatcher_->requests_in_flight());
         control_.io.stop();
         return;
     }
--- a/src/router/in_flight_request.h
+++ b/src/router/in_flight_request.h
@@ -19,7 +19,7 @@
     in_flight_request(asio::io_context& context, std::uint64_t number, caller_request received,
                       app::http_reply answer_to, time_point now)
         : id(number), request(std::move(received)), reply(std::move(answer_to)), arrived(now), timer(context),
-          wake(context) {}
+          wait_timer(context) {}
 
     std::uint64_t id;
     caller_request request;
@@ -28,23 +28,23 @@
     time_point arrived;
     time_point deadline; ///< the caller's or the route's limit, whichever is first
     asio::steady_timer timer;
-    asio::steady_timer wake; ///< end of a backoff
+    asio::steady_timer wait_timer; ///< end of a backoff
     directory::route route;
     std::string service;
     bool keyed = false;
-    int runs_possible = 0; ///< upstreams that may have begun it
-    int arrivals = 0;      ///< times that it was sent
+    int possible_runs = 0; ///< upstreams that may have begun it
+    int send_count = 0;    ///< times that it was sent
     bool in_doubt = false; ///< an earlier send may have run
-    bool parked = false;
+    bool waiting_for_owner = false;
     bool queued = false;
     bool direct = false;             ///< its gate failed: sent to the upstream from here
     std::int32_t hops = 0;           ///< entries that it came through before this one
     std::string gate;                ///< entry that it was passed on to
     std::uint64_t routed = 0;        ///< number of the request there; 0 when it is not there
     std::uint64_t routed_number = 0; ///< of a request that came from another entry, on its connection
-    std::uint64_t exchange = 0;
-    std::string upstream;    ///< id of the lane that it is sent to or waits at
-    std::string last_failed; ///< id of the upstream that failed it last
+    std::uint64_t exchange_id = 0;
+    std::string upstream;             ///< id of the lane that it is sent to or waits at
+    std::string last_failed_upstream; ///< id of the upstream that failed it last
     time_point sent_at;
 };
 
--- a/tests/platform/dispatcher_test.cpp
+++ b/tests/platform/dispatcher_test.cpp
@@ -42,9 +42,9 @@
     // cut.
     SUBCASE("an entry that is about to end sends it elsewhere") {
         it.configure();
-        it.under_test.stop();
+        it.under_test.start_draining();
         CHECK(it.send("/safe/1").close);
-        it.under_test.refuse_new();
+        it.under_test.refuse_new_requests();
         const auto answer = it.send("/safe/1");
         CHECK(answer.status == 503);
         CHECK(answer.close);
@@ -149,7 +149,7 @@
         it.start("/safe/1");
         it.run_until([&] { return it.upstream.requests == 1; });
         it.under_test.on_connection_closed(7);
-        CHECK(it.under_test.requests_in_progress() == 0);
+        CHECK(it.under_test.requests_in_flight() == 0);
         it.run_until([&] { return it.upstream.closed == 1; });
         CHECK_FALSE(it.answer);
     }
@@ -191,7 +191,7 @@
         SUBCASE("is withdrawn at the gate when the caller leaves") {
             it.under_test.on_connection_closed(7);
             CHECK(gates.withdrawn == std::vector<std::uint64_t>{1});
-            CHECK(it.under_test.requests_in_progress() == 0);
+            CHECK(it.under_test.requests_in_flight() == 0);
         }
         SUBCASE("ends without a promise when the gate stays silent") {
             it.run_until([&] { return it.answer.has_value(); });
@@ -251,7 +251,7 @@
     }
     SUBCASE("is not taken by an entry that is about to end") {
         it.configure(true);
-        it.under_test.refuse_new();
+        it.under_test.refuse_new_requests();
         CHECK_FALSE(pass_in());
     }
     // Guards against requests that wait at the former gate of a key that has moved.
@@ -281,7 +281,7 @@
         SUBCASE("when the entry that passed it on is lost") {
             it.under_test.on_connection_closed(link);
         }
-        CHECK(it.under_test.requests_in_progress() == 0);
+        CHECK(it.under_test.requests_in_flight() == 0);
         it.run_until([&] { return it.upstream.closed == 1; });
     }
 }
