--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -125,7 +125,7 @@
         wait_for_owner(it);
         return;
     }
-    if (pass_on(it, *queue)) {
+    if (forward_to_gate(it, *queue)) {
         return;
     }
     if (queue->can_send(steady_now())) {
@@ -279,8 +279,8 @@
     if (it->exchange_id != 0) {
         cancel_attempt(it);
     }
-    if (it->routed != 0) {
-        gates_->withdraw(it->gate, it->routed);
+    if (it->gate_request_number != 0) {
+        gates_->withdraw(it->gate, it->gate_request_number);
     }
     registry_.counter_of("requests_withdrawn_total", "requests whose caller left before the answer").add();
     remove(it);
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -99,7 +99,7 @@
     void start_timer(const request_ptr& it, duration limit);
     void dispatch(const request_ptr& it);
     /// @returns false when the request is to be sent to the upstream from here
-    bool pass_on(const request_ptr& it, const upstream_queue& queue);
+    bool forward_to_gate(const request_ptr& it, const upstream_queue& queue);
     void on_routed(const request_ptr& it, routed_result result);
     /// The caller, or the entry that passed it on, has left.
     void withdraw(const request_ptr& it);
--- a/src/router/dispatcher_answers.cpp
+++ b/src/router/dispatcher_answers.cpp
@@ -178,9 +178,9 @@
         fail(it, status_gateway_timeout, "timeout");
         return;
     }
-    if (it->routed != 0) {
-        gates_->withdraw(it->gate, it->routed);
-        it->routed = 0;
+    if (it->gate_request_number != 0) {
+        gates_->withdraw(it->gate, it->gate_request_number);
+        it->gate_request_number = 0;
         it->in_doubt = true;
         fail(it, status_gateway_timeout, "gate-timeout");
         return;
--- a/src/router/dispatcher_gates.cpp
+++ b/src/router/dispatcher_gates.cpp
@@ -19,8 +19,8 @@
 
 } // namespace
 
-bool dispatcher::pass_on(const request_ptr& it, const upstream_queue& queue) {
-    if (gates_ == nullptr || !it->keyed || it->direct || it->hops >= max_hops ||
+bool dispatcher::forward_to_gate(const request_ptr& it, const upstream_queue& queue) {
+    if (gates_ == nullptr || !it->keyed || it->bypass_gate || it->hops >= max_hops ||
         it->request.body.size() > max_routed_body_bytes) {
         return false;
     }
@@ -39,13 +39,13 @@
     out.priority = it->route.priority;
     out.attempts = it->route.attempts;
     out.hops = it->hops + 1;
-    out.left = it->deadline - now;
-    out.target_left = it->arrived + it->route.target_latency - now;
+    out.time_left = it->deadline - now;
+    out.target_time_left = it->arrived + it->route.target_latency - now;
     it->upstream = queue.target().incarnation.id;
     it->sent_at = now;
-    start_timer(it, out.left + gate_answer_time);
-    it->routed = gates_->pass_on(it->gate, out, [this, it](routed_result result) {
-        it->routed = 0;
+    start_timer(it, out.time_left + gate_answer_time);
+    it->gate_request_number = gates_->forward(it->gate, out, [this, it](routed_result result) {
+        it->gate_request_number = 0;
         if (requests_.contains(it->id)) {
             on_routed(it, std::move(result));
         }
@@ -58,7 +58,7 @@
         finish(it, std::move(result.answer), "routed");
         return;
     }
-    it->direct = true;
+    it->bypass_gate = true;
     if (result.end == routed_end::not_taken) {
         dispatch(it);
         return;
@@ -81,18 +81,18 @@
     const auto it = std::make_shared<in_flight_request>(context_, next_request_id_++,
                                                         std::move(received.request), std::move(reply), now);
     it->request.connection = connection;
-    it->routed_number = number;
+    it->peer_request_number = number;
     it->hops = received.hops;
     it->service = std::move(received.service);
     it->keyed = has_key_ranges(it->service);
     it->route.runs = received.runs;
     it->route.priority = received.priority;
     it->route.attempts = received.attempts;
-    it->route.target_latency = received.target_left;
-    it->route.timeout = received.left;
-    it->deadline = now + received.left;
+    it->route.target_latency = received.target_time_left;
+    it->route.timeout = received.time_left;
+    it->deadline = now + received.time_left;
     requests_.emplace(it->id, it);
-    start_timer(it, received.left);
+    start_timer(it, received.time_left);
     if (is_refused(it)) {
         refuse(it, "crashes-upstreams");
         return true;
@@ -103,7 +103,7 @@
 
 void dispatcher::withdraw_routed(std::uint64_t connection, std::uint64_t number) {
     for (const auto& [id, it] : requests_) {
-        if (it->request.connection == connection && it->routed_number == number) {
+        if (it->request.connection == connection && it->peer_request_number == number) {
             const request_ptr found = it;
             withdraw(found);
             return;
--- a/src/router/gate_links.cpp
+++ b/src/router/gate_links.cpp
@@ -16,13 +16,13 @@
 using transport::frame_type;
 
 // The first choice and one to take its place while the list of entries still names a lost one.
-constexpr std::size_t ranked_gates = 2;
+constexpr std::size_t gates_per_upstream = 2;
 // Callers' connections have small numbers, those of links have numbers above this.
 constexpr std::uint64_t first_link_connection = std::uint64_t{1} << 62;
 // Beyond the request's own limit, for the way back of the gate's answer.
 constexpr duration reply_reserve = std::chrono::milliseconds(100);
 
-std::uint32_t score(const std::string& entry, const std::string& upstream) {
+std::uint32_t rendezvous_score(const std::string& entry, const std::string& upstream) {
     return shard_of(entry + '/' + upstream, std::numeric_limits<std::uint32_t>::max());
 }
 
@@ -51,7 +51,7 @@
         return;
     }
     entries_ = std::move(entries);
-    ranked_.clear();
+    ranked_entries_.clear();
     std::erase_if(links_, [&](const auto& it) {
         return std::none_of(entries_.begin(), entries_.end(),
                             [&](const entry_instance& known) { return known.name == it.first; }) &&
@@ -59,25 +59,25 @@
     });
 }
 
-std::vector<std::string> gate_links::rank(const directory::upstream& target) const {
+std::vector<std::string> gate_links::rank_entries(const directory::upstream& target) const {
     std::vector<std::pair<std::uint32_t, std::string>> scored;
     for (const auto& it : entries_) {
         if (it.data_center == target.data_center) {
-            scored.emplace_back(score(it.name, target.incarnation.id), it.name);
+            scored.emplace_back(rendezvous_score(it.name, target.incarnation.id), it.name);
         }
     }
     std::sort(scored.rbegin(), scored.rend());
     std::vector<std::string> result;
-    for (std::size_t i = 0; i < std::min(scored.size(), ranked_gates); ++i) {
+    for (std::size_t i = 0; i < std::min(scored.size(), gates_per_upstream); ++i) {
         result.push_back(std::move(scored[i].second));
     }
     return result;
 }
 
 std::string gate_links::gate_of(const directory::upstream& target) {
-    auto known = ranked_.find(target.incarnation.id);
-    if (known == ranked_.end()) {
-        known = ranked_.emplace(target.incarnation.id, rank(target)).first;
+    auto known = ranked_entries_.find(target.incarnation.id);
+    if (known == ranked_entries_.end()) {
+        known = ranked_entries_.emplace(target.incarnation.id, rank_entries(target)).first;
     }
     for (const auto& name : known->second) {
         if (name == self_.id.name) {
@@ -105,9 +105,9 @@
     return known->second->up() ? known->second.get() : nullptr;
 }
 
-std::uint64_t gate_links::pass_on(const std::string& gate, const routed_request& request, on_end done) {
+std::uint64_t gate_links::forward(const std::string& gate, const routed_request& request, on_end done) {
     return links_.at(gate)->request(
-        {frame_type::routed_request, 0, encode(request)}, request.left + reply_reserve,
+        {frame_type::routed_request, 0, encode(request)}, request.time_left + reply_reserve,
         [done = std::move(done)](const transport::reply& it) {
             if (it.answer && it.answer->type == frame_type::routed_reply) {
                 done(decode_routed_result(it.answer->payload));
@@ -129,7 +129,7 @@
     known->second->notify({frame_type::routed_cancel, 0, transport::encode(out)});
 }
 
-std::uint64_t gate_links::number_of(const connection_ptr& from) {
+std::uint64_t gate_links::connection_number(const connection_ptr& from) {
     const auto [it, added] = connections_.try_emplace(from, next_connection_);
     next_connection_ += added ? 1 : 0;
     return it->second;
@@ -140,7 +140,7 @@
         on_routed_request(from, received);
     } else if (received.type == frame_type::routed_cancel) {
         const auto in = transport::decode<wire::RoutedCancel>(received.payload);
-        callbacks_.on_withdrawn(number_of(from), static_cast<std::uint64_t>(in.correlation));
+        callbacks_.on_withdrawn(connection_number(from), static_cast<std::uint64_t>(in.correlation));
     } else {
         spdlog::warn("frame ignored type={} peer={}", static_cast<int>(received.type), from->peer().id.name);
     }
@@ -152,7 +152,8 @@
         from->send({frame_type::routed_reply, number,
                     encode(routed_result{routed_end::answered, std::move(answer)})});
     };
-    if (!callbacks_.on_request(decode_routed_request(received.payload), number_of(from), number, reply)) {
+    if (!callbacks_.on_request(decode_routed_request(received.payload), connection_number(from), number,
+                               reply)) {
         from->send({frame_type::routed_reply, number, encode(routed_result{routed_end::not_taken, {}})});
     }
 }
--- a/src/router/gate_links.h
+++ b/src/router/gate_links.h
@@ -44,24 +44,24 @@
     void set_entries(std::vector<entry_instance> entries);
 
     std::string gate_of(const directory::upstream& target) override;
-    std::uint64_t pass_on(const std::string& gate, const routed_request& request, on_end done) override;
+    std::uint64_t forward(const std::string& gate, const routed_request& request, on_end done) override;
     void withdraw(const std::string& gate, std::uint64_t number) override;
 
 private:
     using connection_ptr = std::shared_ptr<transport::connection>;
 
-    std::vector<std::string> rank(const directory::upstream& target) const;
+    std::vector<std::string> rank_entries(const directory::upstream& target) const;
     /// Null while the link is down; the first call dials it.
     transport::peer_link* link(const std::string& name);
     void on_frame(const connection_ptr& from, const transport::frame& received);
     void on_routed_request(const connection_ptr& from, const transport::frame& received);
-    std::uint64_t number_of(const connection_ptr& from);
+    std::uint64_t connection_number(const connection_ptr& from);
 
     asio::io_context& context_;
     transport::peer_identity self_;
     receiver callbacks_;
     std::vector<entry_instance> entries_;
-    std::unordered_map<std::string, std::vector<std::string>> ranked_; ///< by upstream id
+    std::unordered_map<std::string, std::vector<std::string>> ranked_entries_; ///< by upstream id
     std::map<std::string, std::unique_ptr<transport::peer_link>> links_;
     std::map<connection_ptr, std::uint64_t> connections_; ///< accepted ones that sent requests
     std::uint64_t next_connection_;
--- a/src/router/gate_network.h
+++ b/src/router/gate_network.h
@@ -20,9 +20,9 @@
     execution runs = execution::idempotent;
     std::int32_t priority = 0;
     std::int32_t attempts = 1;
-    std::int32_t hops = 1;  ///< entries that it has come through
-    duration left{};        ///< until the caller's or the route's limit
-    duration target_left{}; ///< until the target latency; negative when it has passed
+    std::int32_t hops = 1;       ///< entries that it has come through
+    duration time_left{};        ///< until the caller's or the route's limit
+    duration target_time_left{}; ///< until the target latency; negative when it has passed
 };
 
 enum class routed_end : std::uint8_t {
@@ -52,7 +52,7 @@
     virtual std::string gate_of(const directory::upstream& target) = 0;
     /// @p done is called once, later, unless the request is withdrawn first.
     /// @returns a number for withdraw()
-    virtual std::uint64_t pass_on(const std::string& gate, const routed_request& request, on_end done) = 0;
+    virtual std::uint64_t forward(const std::string& gate, const routed_request& request, on_end done) = 0;
     virtual void withdraw(const std::string& gate, std::uint64_t number) = 0;
 };
 
--- a/src/router/in_flight_request.h
+++ b/src/router/in_flight_request.h
@@ -37,11 +37,11 @@
     bool in_doubt = false; ///< an earlier send may have run
     bool waiting_for_owner = false;
     bool queued = false;
-    bool direct = false;             ///< its gate failed: sent to the upstream from here
-    std::int32_t hops = 0;           ///< entries that it came through before this one
-    std::string gate;                ///< entry that it was passed on to
-    std::uint64_t routed = 0;        ///< number of the request there; 0 when it is not there
-    std::uint64_t routed_number = 0; ///< of a request that came from another entry, on its connection
+    bool bypass_gate = false;              ///< its gate failed: sent to the upstream from here
+    std::int32_t hops = 0;                 ///< entries that it came through before this one
+    std::string gate;                      ///< entry that it was passed on to
+    std::uint64_t gate_request_number = 0; ///< number of the request there; 0 when it is not there
+    std::uint64_t peer_request_number = 0; ///< of a request that came from another entry, on its connection
     std::uint64_t exchange_id = 0;
     std::string upstream;             ///< id of the lane that it is sent to or waits at
     std::string last_failed_upstream; ///< id of the upstream that failed it last
--- a/src/router/routing_codec.cpp
+++ b/src/router/routing_codec.cpp
@@ -40,8 +40,8 @@
     out.priority = source.priority;
     out.attempts = source.attempts;
     out.hops = source.hops;
-    out.left_us = source.left.count();
-    out.target_left_us = source.target_left.count();
+    out.left_us = source.time_left.count();
+    out.target_left_us = source.target_time_left.count();
     out.request_id = source.request.id;
     out.method = source.request.method;
     out.target = source.request.target;
@@ -63,8 +63,8 @@
     result.priority = in.priority;
     result.attempts = in.attempts;
     result.hops = in.hops;
-    result.left = duration(in.left_us);
-    result.target_left = duration(in.target_left_us);
+    result.time_left = duration(in.left_us);
+    result.target_time_left = duration(in.target_left_us);
     result.request.id = std::move(in.request_id);
     result.request.method = std::move(in.method);
     result.request.target = std::move(in.target);
--- a/tests/platform/dispatcher_harness.h
+++ b/tests/platform/dispatcher_harness.h
@@ -21,9 +21,9 @@
 /// Upstream whose answers are given by the test; an empty one leaves the request without an answer.
 class fake_upstream {
 public:
-    using answering = std::function<std::optional<http_response>(const http_request&)>;
+    using answer_function = std::function<std::optional<http_response>(const http_request&)>;
 
-    fake_upstream(asio::io_context& context, std::uint16_t port, answering on_request)
+    fake_upstream(asio::io_context& context, std::uint16_t port, answer_function on_request)
         : server_(context, options(port),
                   [this, on_request = std::move(on_request)](const http_request& it,
                                                              const app::http_reply& reply) {
@@ -61,16 +61,16 @@
 class fake_gates : public router::gate_network {
 public:
     std::string gate_of(const directory::upstream&) override { return gate; }
-    std::uint64_t pass_on(const std::string&, const router::routed_request& request, on_end done) override {
-        passed.push_back(request);
-        ends.push_back(std::move(done));
-        return ends.size();
+    std::uint64_t forward(const std::string&, const router::routed_request& request, on_end done) override {
+        forwarded.push_back(request);
+        callbacks.push_back(std::move(done));
+        return callbacks.size();
     }
     void withdraw(const std::string&, std::uint64_t number) override { withdrawn.push_back(number); }
 
     std::string gate = "other entry";
-    std::vector<router::routed_request> passed;
-    std::vector<on_end> ends;
+    std::vector<router::routed_request> forwarded;
+    std::vector<on_end> callbacks;
     std::vector<std::uint64_t> withdrawn;
 };
 
@@ -78,7 +78,7 @@
 public:
     static constexpr std::uint16_t first_port = 38471;
 
-    explicit harness(fake_upstream::answering on_request)
+    explicit harness(fake_upstream::answer_function on_request)
         : upstream(context, first_port, std::move(on_request)), protocol(make_provider_protocol()),
           under_test(context, *protocol, options(), registry) {}
 
--- a/tests/platform/dispatcher_test.cpp
+++ b/tests/platform/dispatcher_test.cpp
@@ -163,27 +163,27 @@
 
     SUBCASE("is passed on with what is left of its time") {
         it.start("/safe/1");
-        REQUIRE(gates.passed.size() == 1);
+        REQUIRE(gates.forwarded.size() == 1);
         CHECK(it.upstream.requests == 0);
-        CHECK(gates.passed.front().request.key == 5);
-        CHECK(gates.passed.front().left <= milliseconds(1000));
-        CHECK(gates.passed.front().target_left <= milliseconds(400));
+        CHECK(gates.forwarded.front().request.key == 5);
+        CHECK(gates.forwarded.front().time_left <= milliseconds(1000));
+        CHECK(gates.forwarded.front().target_time_left <= milliseconds(400));
         SUBCASE("and has the gate's answer") {
-            gates.ends.front()(
+            gates.callbacks.front()(
                 {router::routed_end::answered, {200, {{"X-Response-Signature", "g"}}, "b", false}});
             REQUIRE(it.answer);
             CHECK(it.answer->status == 200);
             CHECK(it.answer->header("X-Response-Signature") == "g");
         }
         SUBCASE("is sent from here when the gate does not take it") {
-            gates.ends.front()({router::routed_end::not_taken, {}});
+            gates.callbacks.front()({router::routed_end::not_taken, {}});
             it.run_until([&] { return it.answer.has_value(); });
             CHECK(it.answer->status == 200);
             CHECK(it.upstream.requests == 1);
-            CHECK(gates.passed.size() == 1);
+            CHECK(gates.forwarded.size() == 1);
         }
         SUBCASE("is sent again from here when the gate is lost, since it may run twice") {
-            gates.ends.front()({router::routed_end::lost, {}});
+            gates.callbacks.front()({router::routed_end::lost, {}});
             it.run_until([&] { return it.answer.has_value(); });
             CHECK(it.answer->status == 200);
             CHECK(it.upstream.requests == 1);
@@ -206,13 +206,13 @@
         it.start("/safe/1", milliseconds(0), late);
         it.run_until([&] { return late.has_value(); });
         CHECK(late->status == 503);
-        CHECK(gates.passed.empty());
+        CHECK(gates.forwarded.empty());
         CHECK(it.upstream.requests == 0);
     }
     SUBCASE("is not sent again when the gate is lost and it may run once only, and nothing is promised") {
         it.start("/unsafe/1");
-        REQUIRE(gates.passed.size() == 1);
-        gates.ends.front()({router::routed_end::lost, {}});
+        REQUIRE(gates.forwarded.size() == 1);
+        gates.callbacks.front()({router::routed_end::lost, {}});
         REQUIRE(it.answer);
         CHECK(it.answer->status == 502);
         CHECK(it.upstream.requests == 0);
@@ -220,7 +220,7 @@
     SUBCASE("is sent from here when this entry is the gate") {
         gates.gate.clear();
         CHECK(it.send("/safe/1").status == 200);
-        CHECK(gates.passed.empty());
+        CHECK(gates.forwarded.empty());
     }
 }
 
@@ -238,42 +238,42 @@
     request.request.key = 5;
     request.request.headers = {{"Host", "h"}, {"X-Request-Id", "id-1"}};
     request.service = "s";
-    request.left = milliseconds(800);
-    request.target_left = milliseconds(300);
+    request.time_left = milliseconds(800);
+    request.target_time_left = milliseconds(300);
     constexpr std::uint64_t link = 1000;
-    const auto pass_in = [&] {
+    const auto handle_routed_request = [&] {
         return it.under_test.handle_routed(request, link, 3,
                                            [&](http_response answer) { it.answer = std::move(answer); });
     };
 
     SUBCASE("is not taken before a configuration is known") {
-        CHECK_FALSE(pass_in());
+        CHECK_FALSE(handle_routed_request());
     }
     SUBCASE("is not taken by an entry that is about to end") {
         it.configure(true);
         it.under_test.refuse_new_requests();
-        CHECK_FALSE(pass_in());
+        CHECK_FALSE(handle_routed_request());
     }
     // Guards against requests that wait at the former gate of a key that has moved.
     SUBCASE("is passed on once more when the key's upstream has another gate") {
         it.configure(true);
-        CHECK(pass_in());
-        REQUIRE(gates.passed.size() == 1);
-        CHECK(gates.passed.front().hops == 2);
+        CHECK(handle_routed_request());
+        REQUIRE(gates.forwarded.size() == 1);
+        CHECK(gates.forwarded.front().hops == 2);
     }
     SUBCASE("is sent to the upstream by the second gate in any case") {
         it.configure(true);
         request.hops = 2;
-        CHECK(pass_in());
+        CHECK(handle_routed_request());
         it.run_until([&] { return it.answer.has_value(); });
         CHECK(it.answer->status == 200);
-        CHECK(gates.passed.empty());
+        CHECK(gates.forwarded.empty());
     }
     SUBCASE("is withdrawn at the upstream") {
         it.configure(true);
         gates.gate.clear();
         request.request.target = "/held";
-        CHECK(pass_in());
+        CHECK(handle_routed_request());
         it.run_until([&] { return it.upstream.requests == 1; });
         SUBCASE("when its caller leaves") {
             it.under_test.withdraw_routed(link, 3);
--- a/tests/router/gate_links_test.cpp
+++ b/tests/router/gate_links_test.cpp
@@ -28,7 +28,7 @@
         app::http_reply reply;
     };
     endpoint_address address;
-    bool takes = true;
+    bool accepts = true;
     std::vector<received> requests;
     std::vector<std::uint64_t> withdrawn;
     std::vector<std::uint64_t> disconnected;
@@ -39,7 +39,7 @@
         return {[this](routed_request request, std::uint64_t connection, std::uint64_t number,
                        app::http_reply reply) {
                     requests.push_back({std::move(request), connection, number, std::move(reply)});
-                    return takes;
+                    return accepts;
                 },
                 [this](std::uint64_t, std::uint64_t number) { withdrawn.push_back(number); },
                 [this](std::uint64_t connection) { disconnected.push_back(connection); }};
@@ -50,7 +50,7 @@
     return {{id, 1}, "s", data_center, {"127.0.0.1", 1}, 2, false, false};
 }
 
-routed_request lookup() {
+routed_request make_request() {
     routed_request result;
     result.request.id = "id-1";
     result.request.method = "POST";
@@ -64,8 +64,8 @@
     result.priority = 2;
     result.attempts = 3;
     result.hops = 2;
-    result.left = milliseconds(900);
-    result.target_left = milliseconds(-40);
+    result.time_left = milliseconds(900);
+    result.target_time_left = milliseconds(-40);
     return result;
 }
 
@@ -101,13 +101,13 @@
         CHECK(here.links.gate_of(far) == to_string(there.address));
 
         std::optional<routed_result> result;
-        const auto number = here.links.pass_on(to_string(there.address), lookup(),
+        const auto number = here.links.forward(to_string(there.address), make_request(),
                                                [&](routed_result it) { result = std::move(it); });
         REQUIRE(run_until([&] { return !there.requests.empty(); }));
         const auto& got = there.requests.front();
 
         SUBCASE("the request arrives whole") {
-            const routed_request sent = lookup();
+            const routed_request sent = make_request();
             CHECK(got.request.request.id == sent.request.id);
             CHECK(got.request.request.method == sent.request.method);
             CHECK(got.request.request.target == sent.request.target);
@@ -120,8 +120,8 @@
             CHECK(got.request.priority == sent.priority);
             CHECK(got.request.attempts == sent.attempts);
             CHECK(got.request.hops == sent.hops);
-            CHECK(got.request.left == sent.left);
-            CHECK(got.request.target_left == sent.target_left);
+            CHECK(got.request.time_left == sent.time_left);
+            CHECK(got.request.target_time_left == sent.target_time_left);
         }
         SUBCASE("and its answer comes back whole") {
             got.reply({201, {{"X-Signature", "sig"}}, std::string("x\0y", 3), false});
@@ -140,9 +140,9 @@
             CHECK_FALSE(result);
         }
         SUBCASE("a gate that stops taking requests says so") {
-            there.takes = false;
+            there.accepts = false;
             std::optional<routed_result> second;
-            here.links.pass_on(to_string(there.address), lookup(),
+            here.links.forward(to_string(there.address), make_request(),
                                [&](routed_result it) { second = std::move(it); });
             REQUIRE(run_until([&] { return second.has_value(); }));
             CHECK(second->end == routed_end::not_taken);
@@ -153,7 +153,7 @@
         std::optional<node> third(std::in_place, context, "north");
         third->links.set_entries(entries);
         REQUIRE(run_until([&] { return !third->links.gate_of(far).empty(); }));
-        third->links.pass_on(to_string(there.address), lookup(), [](const routed_result&) {});
+        third->links.forward(to_string(there.address), make_request(), [](const routed_result&) {});
         REQUIRE(run_until([&] { return there.requests.size() == 1; }));
         third.reset();
         REQUIRE(run_until([&] { return !there.disconnected.empty(); }));
@@ -177,7 +177,7 @@
             return gated.has_value();
         }));
         std::optional<routed_result> result;
-        here.links.pass_on(to_string(other->address), lookup(),
+        here.links.forward(to_string(other->address), make_request(),
                            [&](routed_result it) { result = std::move(it); });
         REQUIRE(run_until([&] { return !other->requests.empty(); }));
         other.reset();
