--- a/src/router/control_links.cpp
+++ b/src/router/control_links.cpp
@@ -47,7 +47,7 @@
         [this, name](const std::shared_ptr<transport::connection>&, const transport::frame& received) {
             on_frame(name, received);
         });
-    created->on_state_change([this, name](bool up) { on_link(name, up); });
+    created->on_state_change([this, name](bool up) { on_link_state(name, up); });
     links_.emplace(name, std::move(created));
 }
 
@@ -55,7 +55,7 @@
     return *links_.at(name);
 }
 
-void control_links::on_link(const std::string& name, bool up) {
+void control_links::on_link_state(const std::string& name, bool up) {
     spdlog::info("control instance {} name={}", up ? "reached" : "lost", name);
     remotes_[name] = {false, 0, up};
     if (up) {
--- a/src/router/control_links.h
+++ b/src/router/control_links.h
@@ -47,7 +47,7 @@
     transport::peer_link& link(const std::string& name);
     /// Tells a control instance whether this entry takes requests.
     void send_join(transport::peer_link& to) const;
-    void on_link(const std::string& name, bool up);
+    void on_link_state(const std::string& name, bool up);
     void on_frame(const std::string& name, const transport::frame& received);
     void on_status(const std::string& name, const std::string& payload);
     void on_update(const std::string& name, const std::string& payload);
--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -23,11 +23,11 @@
 constexpr duration heartbeat_interval = std::chrono::milliseconds(120);
 constexpr duration election_timeout = std::chrono::milliseconds(700);
 constexpr duration tick_interval = std::chrono::milliseconds(40);
-constexpr duration keeper_interval = std::chrono::milliseconds(80);
+constexpr duration lease_manager_interval = std::chrono::milliseconds(80);
 constexpr duration join_interval = std::chrono::seconds(1);
 constexpr duration decay_interval = std::chrono::milliseconds(500);
 constexpr double decay_factor = 0.8; ///< demand halves within 1.6 s, the length of a third of a hot spell
-constexpr duration silent_before_removal = std::chrono::seconds(40); ///< outlasts cuts of zones and machines
+constexpr duration max_upstream_silence = std::chrono::seconds(40); ///< outlasts cuts of zones and machines
 
 } // namespace
 
@@ -153,7 +153,7 @@
     group_->tick();
     const bool leading = group_->leads();
     if (leading != was_leading_) {
-        on_leadership(leading, now);
+        on_leadership_change(leading, now);
     }
     if (leading) {
         tick_leader(now);
@@ -178,24 +178,24 @@
     });
 }
 
-void control_node::on_leadership(bool leading, time_point now) {
+void control_node::on_leadership_change(bool leading, time_point now) {
     was_leading_ = leading;
     const std::uint64_t term = group_->node().term();
     // A leader that was out of touch for a moment and still leads the same term: no other one has led
     // meanwhile, so what it knows of the leases is still all there is to know.
-    const bool resumes = leading && keeper_ && keeper_term_ == term;
+    const bool resumes = leading && lease_manager_ && lease_manager_term_ == term;
     if (leading && !resumes) {
-        ++keeper_number_;
-        keeper_term_ = term;
+        ++lease_manager_generation_;
+        lease_manager_term_ = term;
         key_ranges::lease_manager_options options;
         // The clock error of an upstream is part of the longest hold that is allowed.
         options.lease_time = std::min(settings_.max_hold, duration(std::chrono::seconds(9)));
         options.announce_timeout = settings_.announce_interval * 3;
         // Orders of a former leader that has ended may still be on their way.
-        keeper_ = std::make_unique<key_ranges::lease_manager>(options, now + election_timeout);
+        lease_manager_ = std::make_unique<key_ranges::lease_manager>(options, now + election_timeout);
         conditions_.clear();
-        lives_.clear();
-        loads_.clear();
+        last_announcements_.clear();
+        demand_.clear();
         poison_detector_ = poison_request_detector();
         for (const auto& [id, it] : machine_.state()->upstreams) {
             conditions_[id].last_announced = now;
@@ -209,39 +209,39 @@
 void control_node::tick_leader(time_point now) {
     if (now >= next_decay_) {
         next_decay_ = now + decay_interval;
-        for (auto& [service, it] : loads_) {
+        for (auto& [service, it] : demand_) {
             it.decay(decay_factor);
         }
         poison_detector_.expire(now);
         replace_lost_members(now);
         remove_silent_upstreams(now);
     }
-    if (now >= next_keeper_run_) {
-        next_keeper_run_ = now + keeper_interval;
-        run_keeper(now);
+    if (now >= next_lease_manager_run_) {
+        next_lease_manager_run_ = now + lease_manager_interval;
+        run_lease_manager(now);
     }
 }
 
-void control_node::run_keeper(time_point now) {
-    auto effects = keeper_->tick({*machine_.state(), conditions_, loads_}, now);
-    const std::uint64_t number = keeper_number_;
+void control_node::run_lease_manager(time_point now) {
+    auto effects = lease_manager_->tick({*machine_.state(), conditions_, demand_}, now);
+    const std::uint64_t generation = lease_manager_generation_;
     if (!effects.command.empty()) {
         for (const auto& it : effects.command.assignments) {
             spdlog::info("range assigned service={} first={} last={} upstream={}", it.service, it.first,
                          it.last, it.owner.id);
         }
-        propose(effects.command, [this, number](bool committed) {
-            if (number == keeper_number_ && keeper_) {
-                keeper_->on_command(committed);
+        propose(effects.command, [this, generation](bool committed) {
+            if (generation == lease_manager_generation_ && lease_manager_) {
+                lease_manager_->on_command(committed);
             }
         });
     }
     for (auto& it : effects.calls) {
         const std::uint64_t id = it.id;
         send_order_(std::move(it),
-                    [this, number, id](key_ranges::call_result result, const std::string& handover) {
-                        if (number == keeper_number_ && keeper_) {
-                            keeper_->on_result(id, result, handover, steady_now());
+                    [this, generation, id](key_ranges::call_result result, const std::string& handover) {
+                        if (generation == lease_manager_generation_ && lease_manager_) {
+                            lease_manager_->on_result(id, result, handover, steady_now());
                         }
                     });
     }
@@ -267,7 +267,7 @@
     directory::command change;
     for (const auto& [id, it] : machine_.state()->upstreams) {
         const auto known = conditions_.find(id);
-        if (known != conditions_.end() && now - known->second.last_announced > silent_before_removal) {
+        if (known != conditions_.end() && now - known->second.last_announced > max_upstream_silence) {
             change.removed_upstreams.push_back(id);
             conditions_.erase(known);
         }
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -44,16 +44,16 @@
     void set_seeds(const std::vector<std::string>& ips);
 
 private:
-    struct tracked_life {
-        directory::upstream_incarnation incarnation;
+    struct last_announcement {
+        directory::upstream_incarnation upstream;
         std::int64_t sequence = 0;
     };
 
     void open_group();
     void tick();
     void tick_leader(time_point now);
-    void on_leadership(bool leading, time_point now);
-    void run_keeper(time_point now);
+    void on_leadership_change(bool leading, time_point now);
+    void run_lease_manager(time_point now);
     void replace_lost_members(time_point now);
     void remove_silent_upstreams(time_point now);
     void dial(const std::string& name);
@@ -86,16 +86,16 @@
     std::set<std::string> dialled_;
     std::map<consensus::member_id, time_point> spares_; ///< control instances that may become voters
     std::map<std::string, std::weak_ptr<transport::connection>> entries_; ///< that take requests, by name
-    std::unique_ptr<key_ranges::lease_manager> keeper_;
-    std::uint64_t keeper_term_ = 0;   ///< term in which the keeper was made
-    std::uint64_t keeper_number_ = 0; ///< results for an earlier keeper are dropped
+    std::unique_ptr<key_ranges::lease_manager> lease_manager_;
+    std::uint64_t lease_manager_term_ = 0;       ///< term in which the keeper was made
+    std::uint64_t lease_manager_generation_ = 0; ///< results for an earlier keeper are dropped
     std::map<std::string, key_ranges::upstream_condition> conditions_;
-    std::map<std::string, tracked_life> lives_;
-    std::map<std::string, key_ranges::key_loads> loads_;
+    std::map<std::string, last_announcement> last_announcements_;
+    std::map<std::string, key_ranges::key_loads> demand_;
     std::map<std::string, double> service_times_; ///< moving average in microseconds, by upstream id
     poison_request_detector poison_detector_;
     bool was_leading_ = false;
-    time_point next_keeper_run_;
+    time_point next_lease_manager_run_;
     time_point next_decay_;
     time_point next_join_;
     std::string last_status_;
--- a/src/router/control_node_orders.cpp
+++ b/src/router/control_node_orders.cpp
@@ -22,21 +22,21 @@
 
 bool control_node::is_stale(const announcement& report) {
     const auto& state = *machine_.state();
-    const auto& incarnation = report.upstream.incarnation;
-    const auto known = state.upstreams.find(incarnation.id);
-    if (known != state.upstreams.end() && known->second.incarnation.started_ms > incarnation.started_ms) {
+    const auto& reported = report.upstream.incarnation;
+    const auto known = state.upstreams.find(reported.id);
+    if (known != state.upstreams.end() && known->second.incarnation.started_ms > reported.started_ms) {
         return true;
     }
-    const auto* neighbour = state.find_by_address(report.upstream.address);
-    if (neighbour != nullptr && neighbour->incarnation.id != incarnation.id &&
-        neighbour->incarnation.started_ms > incarnation.started_ms) {
+    const auto* same_address = state.find_by_address(report.upstream.address);
+    if (same_address != nullptr && same_address->incarnation.id != reported.id &&
+        same_address->incarnation.started_ms > reported.started_ms) {
         return true;
     }
-    auto& tracked = lives_[incarnation.id];
-    if (tracked.incarnation == incarnation && report.sequence < tracked.sequence) {
+    auto& last = last_announcements_[reported.id];
+    if (last.upstream == reported && report.sequence < last.sequence) {
         return true;
     }
-    tracked = {incarnation, report.sequence};
+    last = {reported, report.sequence};
     return false;
 }
 
@@ -64,9 +64,9 @@
             return;
         }
     }
-    const auto* neighbour = state.find_by_address(report.upstream.address);
-    if (neighbour != nullptr && neighbour->incarnation.id != report.upstream.incarnation.id) {
-        change.removed_upstreams.push_back(neighbour->incarnation.id);
+    const auto* same_address = state.find_by_address(report.upstream.address);
+    if (same_address != nullptr && same_address->incarnation.id != report.upstream.incarnation.id) {
+        change.removed_upstreams.push_back(same_address->incarnation.id);
     }
     spdlog::info("upstream registered id={} started_ms={} service={} address={} draining={}",
                  report.upstream.incarnation.id, report.upstream.incarnation.started_ms,
--- a/src/router/control_node_reports.cpp
+++ b/src/router/control_node_reports.cpp
@@ -17,11 +17,11 @@
 using transport::frame_type;
 
 // Work differs from request to request; about ten answers outweigh the former average.
-constexpr double kept_per_answer = 0.92;
+constexpr double average_decay_per_answer = 0.92;
 // Speeds relative to the median of the service. A slower one than this still gets a few keys, so that it is
 // seen when it recovers.
-constexpr double slowest_speed = 0.08;
-constexpr double fastest_speed = 3.0;
+constexpr double min_speed = 0.08;
+constexpr double max_speed = 3.0;
 
 } // namespace
 
@@ -32,7 +32,7 @@
     const auto report = decode<wire::LoadReport>(payload);
     for (const auto& it : report.keys) {
         if (it.key >= 0 && it.key <= static_cast<std::int32_t>(directory::last_key)) {
-            loads_[it.service_name].add(static_cast<directory::key_number>(it.key), it.requests);
+            demand_[it.service_name].add(static_cast<directory::key_number>(it.key), it.requests);
         }
     }
     for (const auto& it : report.upstreams) {
@@ -40,7 +40,7 @@
             continue;
         }
         const double mean = static_cast<double>(it.service_time_us) / it.answers;
-        const double kept = std::pow(kept_per_answer, it.answers);
+        const double kept = std::pow(average_decay_per_answer, it.answers);
         double& average = service_times_[it.upstream];
         average = average <= 0 ? mean : average * kept + mean * (1 - kept);
     }
@@ -80,7 +80,7 @@
         if (known != service_times_.end() && condition != conditions_.end()) {
             const auto& sorted = times[it.service];
             const double median = sorted[sorted.size() / 2];
-            condition->second.speed = std::clamp(median / known->second, slowest_speed, fastest_speed);
+            condition->second.speed = std::clamp(median / known->second, min_speed, max_speed);
         }
     }
 }
--- a/src/router/publisher.cpp
+++ b/src/router/publisher.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 // Changes within this time leave in one update: a restart registers every upstream within a second.
-constexpr duration batch_time = std::chrono::milliseconds(10);
+constexpr duration batch_interval = std::chrono::milliseconds(10);
 
 } // namespace
 
@@ -21,7 +21,7 @@
         return;
     }
     scheduled_ = true;
-    timer_.expires_after(batch_time);
+    timer_.expires_after(batch_interval);
     timer_.async_wait([this](const asio::error_code& ec) {
         if (!ec) {
             scheduled_ = false;
