--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -2,10 +2,10 @@
 
 #include "app/instance/peer_mesh.h"
 #include "app/instance/replicated_group.h"
-#include "router/directory_machine.h"
+#include "router/directory_publisher.h"
+#include "router/directory_state_machine.h"
 #include "router/poison_requests.h"
 #include "router/protocol_adapter.h"
-#include "router/publisher.h"
 #include "router/settings.h"
 
 #include <kingcupseam/consensus.h>
@@ -76,8 +76,8 @@
     asio::io_context& context_;
     process_settings settings_;
     order_sender send_order_;
-    directory_machine machine_;
-    publisher publisher_;
+    directory_state_machine machine_;
+    directory_publisher publisher_;
     asio::steady_timer tick_timer_;
     consensus::member_id self_;
     std::unique_ptr<app::replicated_group> group_;
--- a/src/router/control_process.cpp
+++ b/src/router/control_process.cpp
@@ -4,7 +4,7 @@
 #include "app/worker.h"
 #include "router/control_node.h"
 #include "router/metrics_server.h"
-#include "router/seed_watch.h"
+#include "router/seed_watcher.h"
 #include "router/upstream_client.h"
 
 #include <spdlog/spdlog.h>
@@ -70,14 +70,14 @@
     metrics::registry registry_;
     std::unique_ptr<app::http_server> server_;
     std::unique_ptr<app::http_server> metrics_;
-    seed_watch watch_;
+    seed_watcher seed_watcher_;
     asio::signal_set signals_{control_.io, SIGTERM, SIGINT};
 };
 
 control_process::control_process(const settings_source& read_settings, const protocol_adapter& protocol)
     : settings_(read_settings()), protocol_(protocol),
-      watch_(control_.io, read_settings,
-             [this](const std::vector<std::string>& ips) { node_->set_seeds(ips); }) {
+      seed_watcher_(control_.io, read_settings,
+                    [this](const std::vector<std::string>& ips) { node_->set_seeds(ips); }) {
     node_ = std::make_unique<control_node>(
         control_.io, settings_,
         [this](const key_ranges::call& order, on_call_result done) { send_order(order, std::move(done)); });
--- a/src/router/publisher.cpp
+++ b/src/router/directory_publisher.cpp
@@ -1,4 +1,4 @@
-#include "router/publisher.h"
+#include "router/directory_publisher.h"
 
 namespace kingcupseam::router {
 
@@ -9,13 +9,14 @@
 
 } // namespace
 
-void publisher::subscribe(const std::shared_ptr<transport::connection>& peer, std::uint64_t known_index) {
+void directory_publisher::subscribe(const std::shared_ptr<transport::connection>& peer,
+                                    std::uint64_t known_index) {
     const bool same = known_index != 0 && known_index == current_->index;
     subscribers_[peer->peer().id.name] = {peer, same ? current_ : nullptr};
     flush();
 }
 
-void publisher::publish(directory::snapshot_ptr current) {
+void directory_publisher::publish(directory::snapshot_ptr current) {
     current_ = std::move(current);
     if (scheduled_) {
         return;
@@ -30,7 +31,7 @@
     });
 }
 
-void publisher::flush() {
+void directory_publisher::flush() {
     std::map<const directory::snapshot*, std::string> encoded; // most subscribers hold the same state
     for (auto it = subscribers_.begin(); it != subscribers_.end();) {
         const auto peer = it->second.peer.lock();
--- a/src/router/publisher.h
+++ b/src/router/directory_publisher.h
@@ -12,9 +12,9 @@
 namespace kingcupseam::router {
 
 /// Sends the directory to the entries that subscribed: everything once, then differences.
-class publisher {
+class directory_publisher {
 public:
-    explicit publisher(asio::io_context& context) : timer_(context) {}
+    explicit directory_publisher(asio::io_context& context) : timer_(context) {}
 
     /// @param known_index index that the subscriber holds; 0 for nothing
     void subscribe(const std::shared_ptr<transport::connection>& peer, std::uint64_t known_index);
--- a/src/router/directory_machine.cpp
+++ b/src/router/directory_state_machine.cpp
@@ -1,4 +1,4 @@
-#include "router/directory_machine.h"
+#include "router/directory_state_machine.h"
 
 #include <kingcupseam/error.h>
 
@@ -6,7 +6,7 @@
 
 namespace kingcupseam::router {
 
-std::string directory_machine::apply(const std::string& command, std::uint64_t index) {
+std::string directory_state_machine::apply(const std::string& command, std::uint64_t index) {
     try {
         state_ = std::make_shared<const directory::snapshot>(
             directory::apply(*state_, directory::decode_command(command), index));
@@ -18,7 +18,7 @@
     return {};
 }
 
-void directory_machine::restore(const std::string& saved) {
+void directory_state_machine::restore(const std::string& saved) {
     state_ = std::make_shared<const directory::snapshot>(directory::decode_snapshot(saved));
     on_change_();
 }
--- a/src/router/directory_machine.h
+++ b/src/router/directory_state_machine.h
@@ -9,9 +9,9 @@
 namespace kingcupseam::router {
 
 /// The replicated directory as the state machine of a consensus group.
-class directory_machine : public app::state_machine {
+class directory_state_machine : public app::state_machine {
 public:
-    explicit directory_machine(std::function<void()> on_change) : on_change_(std::move(on_change)) {}
+    explicit directory_state_machine(std::function<void()> on_change) : on_change_(std::move(on_change)) {}
 
     std::string apply(const std::string& command, std::uint64_t index) override;
     std::string save() const override { return directory::encode(*state_); }
--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -304,7 +304,7 @@
         while (const auto id = it->second->pop()) {
             displaced.push_back(*id);
         }
-        client_.forget(it->second->target().address);
+        client_.close_idle(it->second->target().address);
         send_timers_.erase(it->first);
         it = queues_.erase(it);
     }
--- a/src/router/entry_process.cpp
+++ b/src/router/entry_process.cpp
@@ -6,7 +6,7 @@
 #include "router/dispatcher.h"
 #include "router/gate_links.h"
 #include "router/metrics_server.h"
-#include "router/seed_watch.h"
+#include "router/seed_watcher.h"
 
 #include <spdlog/spdlog.h>
 
@@ -20,7 +20,7 @@
 
 constexpr duration report_interval = std::chrono::milliseconds(300);
 // The balancer notices within two questions, a second apart, that an entry is not ready.
-constexpr duration unready_time = std::chrono::milliseconds(2600);
+constexpr duration min_unready_time = std::chrono::milliseconds(2600);
 constexpr duration stop_poll_interval = std::chrono::milliseconds(50);
 // A request that is taken later could outlast the process.
 constexpr duration refuse_after = std::chrono::milliseconds(3000);
@@ -51,7 +51,7 @@
     std::unique_ptr<app::http_server> metrics_;
     std::unique_ptr<control_links> links_;
     std::unique_ptr<gate_links> gates_;
-    seed_watch watch_;
+    seed_watcher seed_watcher_;
     asio::signal_set signals_{control_.io, SIGTERM, SIGINT};
     asio::steady_timer report_timer_{traffic_.io};
     asio::steady_timer stop_timer_{traffic_.io};
@@ -62,8 +62,8 @@
 
 entry_process::entry_process(const settings_source& read_settings, const protocol_adapter& protocol)
     : settings_(read_settings()),
-      watch_(control_.io, read_settings,
-             [this](const std::vector<std::string>& ips) { links_->set_seeds(ips); }) {
+      seed_watcher_(control_.io, read_settings,
+                    [this](const std::vector<std::string>& ips) { links_->set_seeds(ips); }) {
     dispatcher_options options;
     options.data_center = settings_.data_center;
     options.retries.ratio = settings_.retry_ratio;
@@ -164,7 +164,7 @@
     if (elapsed > refuse_after) {
         dispatcher_->refuse_new_requests();
     }
-    if ((elapsed > unready_time && dispatcher_->requests_in_flight() == 0) ||
+    if ((elapsed > min_unready_time && dispatcher_->requests_in_flight() == 0) ||
         elapsed > settings_.grace_period - stop_reserve) {
         spdlog::info("entry stopped requests_cut={}", dispatcher_->requests_in_flight());
         control_.io.stop();
--- a/src/router/disk_wait.h
+++ b/src/router/full_disk_wait.h
@@ -7,7 +7,7 @@
 
 /// Waits on the control thread while the disk is full: this member then neither votes nor acknowledges, as on
 /// a disk that stalls. Gives up after a limit, so that a disk that stays full shows as a process that ends.
-class disk_wait final : public storage::full_disk_policy {
+class full_disk_wait final : public storage::full_disk_policy {
 public:
     bool wait_for_space(const io_error& failure) override;
     void on_space_available() override;
--- a/src/router/seed_watch.cpp
+++ b/src/router/seed_watcher.cpp
@@ -1,4 +1,4 @@
-#include "router/seed_watch.h"
+#include "router/seed_watcher.h"
 
 #include <kingcupseam/error.h>
 
@@ -14,15 +14,15 @@
 
 } // namespace
 
-seed_watch::seed_watch(asio::io_context& context, settings_source read_settings,
-                       std::function<void(const std::vector<std::string>&)> on_change)
+seed_watcher::seed_watcher(asio::io_context& context, settings_source read_settings,
+                           std::function<void(const std::vector<std::string>&)> on_change)
     : read_settings_(std::move(read_settings)), on_change_(std::move(on_change)), signals_(context, SIGHUP),
       timer_(context) {
     wait_for_signal();
     wait_for_time();
 }
 
-void seed_watch::wait_for_signal() {
+void seed_watcher::wait_for_signal() {
     signals_.async_wait([this](const asio::error_code& ec, int) {
         if (!ec) {
             spdlog::info("settings reload requested");
@@ -32,7 +32,7 @@
     });
 }
 
-void seed_watch::wait_for_time() {
+void seed_watcher::wait_for_time() {
     timer_.expires_after(check_interval);
     timer_.async_wait([this](const asio::error_code& ec) {
         if (!ec) {
@@ -42,7 +42,7 @@
     });
 }
 
-void seed_watch::check() {
+void seed_watcher::check() {
     try {
         auto ips = read_settings_().seeds;
         if (ips != known_) {
--- a/src/router/seed_watch.h
+++ b/src/router/seed_watcher.h
@@ -12,10 +12,10 @@
 
 /// Reports changed seeds of the settings, after SIGHUP and every few seconds. Keeps the former settings when
 /// the new ones are invalid.
-class seed_watch {
+class seed_watcher {
 public:
-    seed_watch(asio::io_context& context, settings_source read_settings,
-               std::function<void(const std::vector<std::string>& ips)> on_change);
+    seed_watcher(asio::io_context& context, settings_source read_settings,
+                 std::function<void(const std::vector<std::string>& ips)> on_change);
 
 private:
     void wait_for_signal();
--- a/src/router/upstream_client.cpp
+++ b/src/router/upstream_client.cpp
@@ -46,7 +46,7 @@
     }
 }
 
-void upstream_client::forget(const endpoint_address& target) {
+void upstream_client::close_idle(const endpoint_address& target) {
     const auto it = idle_.find(target);
     if (it == idle_.end()) {
         return;
--- a/src/router/upstream_client.h
+++ b/src/router/upstream_client.h
@@ -66,7 +66,7 @@
     /// Resets the connection of an exchange.
     void cancel(std::uint64_t id);
     /// Closes the kept connections to an address.
-    void forget(const endpoint_address& target);
+    void close_idle(const endpoint_address& target);
     std::uint64_t connections_opened() const noexcept { return opened_; }
 
 private:
--- a/src/router/upstream_connection.cpp
+++ b/src/router/upstream_connection.cpp
@@ -14,7 +14,7 @@
 // A peer that acknowledges nothing for this long is gone.
 constexpr duration unacknowledged_limit = std::chrono::seconds(3);
 // The upstream closes an idle connection on its own; a request that meets the close is lost.
-constexpr duration idle_safety = std::chrono::milliseconds(1000);
+constexpr duration idle_margin = std::chrono::milliseconds(1000);
 
 /// Seconds that "Keep-Alive: timeout=N" grants.
 std::optional<duration> keep_alive_timeout(const app::http_response& answer) {
@@ -160,7 +160,7 @@
     const bool reusable = open_ && parser_.keep_alive() && !extra_bytes && !writing_ && !stale_answer_;
     const auto limit = keep_alive_timeout(parser_.answer());
     idle_since_ = steady_now();
-    idle_until_ = idle_since_ + std::min(limit ? *limit - idle_safety : owner_.settings_.idle_timeout,
+    idle_until_ = idle_since_ + std::min(limit ? *limit - idle_margin : owner_.settings_.idle_timeout,
                                          owner_.settings_.idle_timeout);
     const auto done = std::exchange(done_, nullptr);
     auto answer = std::move(parser_.answer());
--- a/tests/platform/dispatcher_harness.h
+++ b/tests/platform/dispatcher_harness.h
@@ -16,7 +16,7 @@
 using app::http_response;
 using std::chrono::milliseconds;
 
-inline constexpr duration longest_test = std::chrono::seconds(5);
+inline constexpr duration max_test_time = std::chrono::seconds(5);
 
 /// Upstream whose answers are given by the test; an empty one leaves the request without an answer.
 class fake_upstream {
@@ -139,7 +139,7 @@
     }
     template <class Condition>
     void run_until(const Condition& condition) {
-        const time_point end = steady_now() + longest_test;
+        const time_point end = steady_now() + max_test_time;
         while (!condition() && steady_now() < end) {
             context.run_one_for(milliseconds(20));
             context.restart();
--- a/tests/router/gate_links_test.cpp
+++ b/tests/router/gate_links_test.cpp
@@ -12,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr duration longest_test = std::chrono::seconds(5);
+constexpr duration max_test_time = std::chrono::seconds(5);
 
 /// One entry with its links; requests that reach it are kept until the test answers.
 class node {
@@ -80,7 +80,7 @@
     here.links.set_entries(entries);
     there.links.set_entries(entries);
     const auto run_until = [&](const std::function<bool()>& condition) {
-        const time_point end = steady_now() + longest_test;
+        const time_point end = steady_now() + max_test_time;
         while (!condition() && steady_now() < end) {
             context.run_for(milliseconds(5));
             context.restart();
