--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-// Limit of a request whose caller states none and whose route has none.
+// Applies when neither the caller nor the route sets a limit.
 constexpr duration default_time_limit = std::chrono::seconds(30);
 
 /// Size of the request line and the headers, with their separators.
 std::size_t header_bytes_of(const app::http_request& request) {
-    constexpr std::size_t separators = 4; // ": " and CRLF; two blanks and CRLF of the request line
+    constexpr std::size_t separators = 4; // ": " and CRLF; or two spaces and CRLF of the request line
     constexpr std::string_view http_version = "HTTP/1.1";
     std::size_t result = request.method.size() + request.target.size() + http_version.size() + separators;
     for (const auto& [name, value] : request.headers) {
@@ -85,7 +85,7 @@
         return;
     }
     if (it->keyed) {
-        // Counted on arrival: what waits here for a crowded owner is demand too.
+        // Counted on arrival: requests queued here for an overloaded owner are demand too.
         ++report_.keys[it->service][*it->request.key];
     }
     const duration timeout = route->timeout > duration::zero() ? route->timeout : default_time_limit;
@@ -155,7 +155,7 @@
 
 void dispatcher::enqueue(const request_ptr& it, upstream_queue& queue) {
     const time_point now = steady_now();
-    // Waiting beyond the target latency serves nobody in time: those behind would be late as well.
+    // A request that waits beyond its target latency makes those behind it late as well.
     const time_point limit = std::min(it->deadline, std::max(it->arrived + it->route.target_latency, now));
     it->upstream = queue.target().incarnation.id;
     if (now + queue.expected_time_if_queued(it->route.priority, now) > limit) {
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -23,40 +23,41 @@
 namespace kingcupseam::router {
 
 struct dispatcher_options {
-    std::string data_center; ///< of this entry
+    std::string data_center; ///< data centre of this entry
     retry_budget_options retries;
-    /// Wait for a key that has no owner at the moment; a handover takes the length of a request.
+    /// Longest wait for a key that has no owner at the moment; a handover takes about as long as a request.
     duration max_owner_wait = std::chrono::milliseconds(600);
-    /// An owner that is new to this entry may not have its grant yet; after this time a refused key is on its
-    /// way to another owner.
+    /// A new owner may not have received its grant yet: for this time after a directory update, a key that
+    /// the owner refuses is retried there. Later, a refusal means that the key is moving to another owner.
     duration grant_delay = std::chrono::milliseconds(100);
-    duration shed_backoff = std::chrono::milliseconds(40); ///< before a request that was shed is sent again
-    /// Told to callers that are refused; about the time of a handover or of some requests.
+    duration shed_backoff =
+        std::chrono::milliseconds(40); ///< delay before the retry of a request that was shed
+    /// Retry-After value for refused callers; about as long as a handover or a few requests take.
     duration retry_after = std::chrono::milliseconds(250);
-    /// Upstreams of other data centres are taken when those of this one would answer late and have this many
-    /// times their load: bytes between data centres are dear.
+    /// An upstream of another data centre is selected only when the local ones would answer late and cost
+    /// this many times as much: traffic between data centres is expensive.
     double remote_cost_factor = 3;
-    /// An attempt with less time left than this cannot succeed and is not sent.
+    /// An attempt with less time left cannot succeed and is not sent.
     duration min_attempt_time = std::chrono::milliseconds(15);
-    /// A request that has waited until less than this part of the upstream's service time is left is given
-    /// up: most such requests would reach their limit at work, and the slot would be lost for others.
+    /// A queued request is given up when less than this fraction of the upstream's service time is left: most
+    /// such requests would time out at the upstream and waste a slot.
     double min_service_fraction = 0.6;
 };
 
-/// What an entry has seen since its last report, for the leader.
+/// What an entry has measured since its last report to the leader.
 struct traffic_report {
-    std::map<std::string, std::map<directory::key_number, int>> keys; ///< by service
+    std::map<std::string, std::map<directory::key_number, int>> keys; ///< requests by service and key
     struct service_time {
         int answers = 0;
         duration total{};
     };
-    std::map<std::string, service_time> upstreams; ///< by id, of requests that did not wait there
+    std::map<std::string, service_time> upstreams; ///< by id; only requests that were not queued there
     std::vector<crash_report> crashed;
-    std::set<request_digest> survived; ///< watched requests that an upstream answered
+    std::set<request_digest> survived; ///< listed poison requests that an upstream answered
     bool empty() const { return keys.empty() && upstreams.empty() && crashed.empty() && survived.empty(); }
 };
 
-/// Takes callers' requests to the upstreams that may run them. Runs on the traffic thread.
+/// Routes callers' requests to upstreams, with queues, retries and cancellation. Runs on the traffic thread.
 class dispatcher {
 public:
     dispatcher(asio::io_context& context, const protocol_adapter& protocol, dispatcher_options settings,
@@ -65,26 +66,26 @@
     dispatcher(const dispatcher&) = delete;
     dispatcher& operator=(const dispatcher&) = delete;
 
-    /// Other entries, to which requests are passed on; null when this one sends all of them.
+    /// Entries to which requests are forwarded; null when this entry sends all requests itself.
     void set_gates(gate_network* gates) { gates_ = gates; }
     void handle(app::http_request received, app::http_reply reply);
-    /// A request that another entry passed on.
-    /// @param number of the request on that connection, for withdraw_routed()
-    /// @returns false when it is not taken: @p reply is not called then
+    /// Handles a request that another entry forwarded.
+    /// @param number identifies the request on that connection, for withdraw_routed()
+    /// @returns false when the request is not accepted; @p reply is not called then
     bool handle_routed(routed_request received, std::uint64_t connection, std::uint64_t number,
                        app::http_reply reply);
     void withdraw_routed(std::uint64_t connection, std::uint64_t number);
-    /// The caller has left: its requests are withdrawn.
+    /// Withdraws all requests of a closed connection.
     void on_connection_closed(std::uint64_t connection);
     void set_directory(directory::snapshot_ptr held);
-    /// Requests that upstreams have ended with, as the leader names them.
+    /// The leader's current list of poison requests.
     void set_poison_requests(const std::vector<poison_request>& listed) {
         poison_requests_.update(listed, steady_now());
     }
     void set_entries(int entries) { entries_ = entries < 1 ? 1 : entries; }
-    /// From now on every answer closes its connection.
+    /// Makes every further answer close its connection.
     void start_draining() { draining_ = true; }
-    /// From now on new requests are refused, so that none is cut off by the end of the process.
+    /// Refuses new requests, so that none is interrupted when the process exits.
     void refuse_new_requests() { refusing_new_requests_ = true; }
     std::size_t requests_in_flight() const noexcept { return requests_.size(); }
     traffic_report take_report();
@@ -94,47 +95,56 @@
     using request_ptr = std::shared_ptr<in_flight_request>;
 
     void admit(const request_ptr& it);
-    /// Ends a request whose headers or body are longer than the configuration allows.
+    /// Fails a request whose headers or body exceed the configured limits.
+    /// @returns true when the request has been answered
     bool reject_if_too_large(const request_ptr& it);
+    /// Calls on_timeout() after @p limit.
     void start_timer(const request_ptr& it, duration limit);
+    /// Selects an upstream and forwards, sends or queues the request, or waits for the key's owner.
     void dispatch(const request_ptr& it);
-    /// @returns false when the request is to be sent to the upstream from here
+    /// @returns false when this entry sends the request to the upstream itself
     bool forward_to_gate(const request_ptr& it, const upstream_queue& queue);
     void on_routed(const request_ptr& it, routed_result result);
-    /// The caller, or the entry that passed it on, has left.
+    /// Cancels a request whose caller, or whose forwarding entry, has disconnected.
     void withdraw(const request_ptr& it);
+    /// Holds the request until a directory update names an upstream for it, at most for max_owner_wait.
     void wait_for_owner(const request_ptr& it);
     void enqueue(const request_ptr& it, upstream_queue& queue);
-    /// Time below which a waiting request is not sent to the upstream any more.
+    /// Time left below which a queued request is not sent any more.
     duration min_useful_time(const upstream_queue& queue) const;
+    /// Ends the request at @p end if it is still queued.
     void start_queue_timer(const request_ptr& it, time_point end);
+    /// Sends queued requests while the upstream's window allows.
     void send_queued(upstream_queue& queue);
-    /// Pumps a lane that opens by the passing of time alone.
+    /// Calls send_queued() when the queue becomes able to send by the passing of time alone.
     void schedule_send_queued(upstream_queue& queue);
+    /// @returns null when no upstream can serve the request now
     upstream_queue* select_upstream(const request_ptr& it);
-    /// For a service without keys: an upstream of this data centre while that one can answer in time.
+    /// For a service without keys: a local upstream if it can answer in time, otherwise the cheapest one.
     upstream_queue* select_least_loaded(const request_ptr& it);
     void send(const request_ptr& it, upstream_queue& queue);
     void on_exchange(const request_ptr& it, exchange_result result);
     void on_answer(const request_ptr& it, upstream_queue* from, app::http_response answer);
     void on_failure(const request_ptr& it, exchange_end end);
     void on_wrong_owner(const request_ptr& it, time_point now);
-    /// Sends it again at once where it may run twice, to another upstream, within the allowance.
+    /// Retries without delay if the request is idempotent and attempts and retry budget are left.
     bool retry_immediately(const request_ptr& it, time_point now);
-    /// Sends it again after @p delay, or ends it when there is no time or allowance left.
+    /// Retries after @p delay, or ends the request when no time or retry budget is left.
     void retry_or_end(const request_ptr& it, const char* reason, duration delay);
-    /// Stops the work at the upstream by closing the connection.
+    /// Resets the connection, which cancels the request at the upstream.
     void cancel_attempt(const request_ptr& it);
-    /// An upstream that is too slow to answer in time would otherwise look as fast as before.
+    /// Counts the elapsed time of an unanswered attempt as service time; otherwise an upstream that is too
+    /// slow to answer in time would keep its former average.
     void record_overdue(const request_ptr& it, upstream_queue& at);
     void on_timeout(const request_ptr& it);
-    /// Refuses a request that surely has not run; one that may have run fails with @p status_in_doubt.
+    /// Refuses a request that certainly has not run; one that may have run fails with @p status_in_doubt.
     void refuse_or_fail(const request_ptr& it, int status_in_doubt, const char* reason);
+    /// Answers 503 with Retry-After, which promises that the request has not run.
     void refuse(const request_ptr& it, const char* reason);
     void fail(const request_ptr& it, int status, const char* reason);
     void finish(const request_ptr& it, app::http_response answer, const char* outcome);
     void remove(const request_ptr& it);
-    /// True for a request that has ended too many upstreams.
+    /// True for a poison request that the leader has refused.
     bool is_refused(const request_ptr& it) const;
     void report_crashes();
     bool has_key_ranges(const std::string& service) const;
@@ -149,7 +159,7 @@
     upstream_client client_;
     gate_network* gates_ = nullptr;
     directory::snapshot_ptr directory_;
-    time_point directory_updated_at_; ///< when the last update came
+    time_point directory_updated_at_;
     std::shared_ptr<const directory::route_index> routes_;
     int entries_ = 1;
     bool draining_ = false;
@@ -161,7 +171,7 @@
     std::vector<request_ptr> waiting_for_owner_;
     std::map<std::string, retry_budget> retry_budgets_;
     std::map<std::string, std::map<std::string, double>>
-        split_credits_; ///< smooth weighted round robin, by route
+        split_credits_; ///< of smooth weighted round robin, by route and service
     traffic_report report_;
     interrupted_requests interrupted_;
     known_poison_requests poison_requests_;
--- a/src/router/dispatcher_answers.cpp
+++ b/src/router/dispatcher_answers.cpp
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-// How attempts end: answers, failures, repeats, and what the caller is told.
+// End of attempts: answers, failures, retries, and the answer to the caller.
 
 namespace kingcupseam::router {
 
@@ -31,14 +31,14 @@
                 interrupted_.add(digest_of(it->request, protocol_.id_header()), from->target(), steady_now());
             }
             if (result.end == exchange_end::timeout && it->deadline - it->sent_at < it->route.timeout / 2) {
-                record_overdue(it, *from); // had little time: no failure of the upstream
+                record_overdue(it, *from); // the attempt had little time: not a failure of the upstream
             } else {
                 from->on_failed(steady_now());
             }
         }
         on_failure(it, result.end);
     }
-    // The lane may have gone while the answer was handled.
+    // The queue may have been removed while the answer was handled.
     if (const auto again = queues_.find(found == queues_.end() ? std::string() : found->first);
         again != queues_.end()) {
         send_queued(*again->second);
@@ -128,7 +128,7 @@
     if (!it->keyed || now - directory_updated_at_ < settings_.grant_delay) {
         retry_or_end(it, "wrong-owner", settings_.shed_backoff / 2);
     } else if (budget_of(it->service).try_retry(entries_, now)) {
-        // The key is being released: the directory will name the next owner.
+        // The key is being released; a directory update will name the next owner.
         wait_for_owner(it);
     } else {
         retry_or_end(it, "wrong-owner", settings_.shed_backoff);
--- a/src/router/dispatcher_choice.cpp
+++ b/src/router/dispatcher_choice.cpp
@@ -1,13 +1,13 @@
 #include "router/dispatcher.h"
 #include "router/in_flight_request.h"
 
-// Which service, upstream and lane a request goes to.
+// Selection of the service and the upstream of a request.
 
 namespace kingcupseam::router {
 
 namespace {
 
-// Above the cost of any lane: an upstream that failed is taken only when nothing else is there.
+// Above any real cost: an upstream that failed is selected only when there is no other.
 constexpr double unavailable_penalty = 1e12;
 
 } // namespace
--- a/src/router/dispatcher_gates.cpp
+++ b/src/router/dispatcher_gates.cpp
@@ -3,18 +3,18 @@
 
 #include <spdlog/spdlog.h>
 
-// Requests that are passed on to the gates of their upstreams, and those that come from other entries.
+// Requests that are forwarded to the gates of their upstreams, and requests from other entries.
 
 namespace kingcupseam::router {
 
 namespace {
 
-// Longer bodies go straight to the upstream: a frame holds a whole request.
+// A larger body is sent directly to the upstream, since a frame holds a whole request.
 constexpr std::size_t max_routed_body_bytes = std::size_t{512} * 1024;
-// A gate whose key has moved while the request waited passes it on once more; beyond that, entries that do
-// not agree on a gate would pass it round.
+// A gate forwards a request once more if the key moved while the request was queued. More hops could form a
+// loop between entries that disagree on the gate.
 constexpr std::int32_t max_hops = 2;
-// The gate ends a request at the same time as this entry would; its answer says more and is on its way.
+// The gate ends the request at the same deadline; this extra wait lets its more precise answer arrive.
 constexpr duration gate_answer_time = std::chrono::milliseconds(25);
 
 } // namespace
--- a/src/router/in_flight_request.h
+++ b/src/router/in_flight_request.h
@@ -14,7 +14,7 @@
 inline constexpr int status_unavailable = 503;
 inline constexpr int status_gateway_timeout = 504;
 
-/// One request of a caller on its way.
+/// State of one caller's request, from its arrival until it is answered.
 struct dispatcher::in_flight_request {
     in_flight_request(asio::io_context& context, std::uint64_t number, caller_request received,
                       app::http_reply answer_to, time_point now)
@@ -26,25 +26,25 @@
     app::http_reply reply;
     std::size_t header_bytes = 0; ///< of the request line and the headers as the caller sent them
     time_point arrived;
-    time_point deadline; ///< the caller's or the route's limit, whichever is first
+    time_point deadline; ///< the earlier of the caller's and the route's limit
     asio::steady_timer timer;
-    asio::steady_timer wait_timer; ///< end of a backoff
+    asio::steady_timer wait_timer; ///< ends a backoff, a wait for an owner, or a wait in a queue
     directory::route route;
     std::string service;
     bool keyed = false;
-    int possible_runs = 0; ///< upstreams that may have begun it
-    int send_count = 0;    ///< times that it was sent
-    bool in_doubt = false; ///< an earlier send may have run
+    int possible_runs = 0; ///< attempts that an upstream may have started
+    int send_count = 0;    ///< attempts that were sent
+    bool in_doubt = false; ///< an earlier attempt may have run
     bool waiting_for_owner = false;
     bool queued = false;
-    bool bypass_gate = false;              ///< its gate failed: sent to the upstream from here
-    std::int32_t hops = 0;                 ///< entries that it came through before this one
-    std::string gate;                      ///< entry that it was passed on to
-    std::uint64_t gate_request_number = 0; ///< number of the request there; 0 when it is not there
-    std::uint64_t peer_request_number = 0; ///< of a request that came from another entry, on its connection
+    bool bypass_gate = false;              ///< the gate failed: this entry sends to the upstream itself
+    std::int32_t hops = 0;                 ///< entries that forwarded it before this one
+    std::string gate;                      ///< entry that it was forwarded to
+    std::uint64_t gate_request_number = 0; ///< of the request at the gate; 0 when it is not there
+    std::uint64_t peer_request_number = 0; ///< of a request from another entry, on its connection
     std::uint64_t exchange_id = 0;
-    std::string upstream;             ///< id of the lane that it is sent to or waits at
-    std::string last_failed_upstream; ///< id of the upstream that failed it last
+    std::string upstream;             ///< id of the upstream that it is sent to or queued for
+    std::string last_failed_upstream; ///< id of the upstream of the last failed attempt
     time_point sent_at;
 };
 
