--- a/src/router/answer_parser.cpp
+++ b/src/router/answer_parser.cpp
@@ -86,7 +86,7 @@
 
 int answer_parser::on_complete(http_parser* parser) {
     self(parser).complete_ = true;
-    // Bytes behind the answer stay unread, so that they are seen.
+    // Stops before bytes that follow the answer, so that the caller sees them.
     http_parser_pause(parser, 1);
     return 0;
 }
--- a/src/router/answer_parser.h
+++ b/src/router/answer_parser.h
@@ -10,7 +10,7 @@
 
 namespace kingcupseam::router {
 
-/// Reads one HTTP answer from a stream of bytes.
+/// Incremental parser for one HTTP response.
 class answer_parser {
 public:
     enum class status { incomplete, complete, malformed };
@@ -19,16 +19,15 @@
     answer_parser(const answer_parser&) = delete;
     answer_parser& operator=(const answer_parser&) = delete;
 
-    /// @param used number of bytes that belong to the answer
+    /// @param used set to the number of bytes that belong to the answer
     status feed(std::string_view bytes, std::size_t& used);
-    /// The stream ended in order: completes an answer without a length.
+    /// Call at the end of the stream; completes an answer that has no length.
     status finish();
-    /// Starts over for the next answer.
     void reset();
 
     app::http_response& answer() noexcept { return answer_; }
     bool started() const noexcept { return started_; }
-    /// True when the connection may carry another answer.
+    /// True when the connection may be reused.
     bool keep_alive() const noexcept { return keep_alive_; }
 
 private:
--- a/src/router/control_links.cpp
+++ b/src/router/control_links.cpp
@@ -86,11 +86,11 @@
             entries.push_back({it.name, it.data_center});
         }
         callbacks_.on_entries(std::move(entries));
-        std::vector<poison_request> watched;
+        std::vector<poison_request> listed;
         for (const auto& it : status.watched) {
-            watched.push_back({static_cast<request_digest>(it.digest), it.refused});
+            listed.push_back({static_cast<request_digest>(it.digest), it.refused});
         }
-        callbacks_.on_poison_requests(std::move(watched));
+        callbacks_.on_poison_requests(std::move(listed));
     }
     choose_source();
 }
@@ -122,13 +122,13 @@
 
 void control_links::on_update(const std::string& name, const std::string& payload) {
     if (name != source_) {
-        return; // subscribed to before
+        return; // from a former subscription
     }
     try {
         auto next = std::make_shared<const directory::snapshot>(directory::apply_difference(*held_, payload));
         if (next->index < held_->index) {
-            // The control instance is behind; the directory never goes back.
-            throw invalid_input("directory", "index", "is older than the directory that is held");
+            // The control instance lags behind.
+            throw invalid_input("directory", "index", "is lower than that of the current directory");
         }
         if (!held_->config || next->config->version != held_->config->version) {
             spdlog::info("configuration in force version={} index={}",
--- a/src/router/control_links.h
+++ b/src/router/control_links.h
@@ -18,13 +18,13 @@
 
 namespace kingcupseam::router {
 
-/// An entry's links to the control instances: keeps the directory up to date through one of them, preferably
-/// the leader. Lives on the control thread.
+/// An entry's links to the control instances. Subscribes to the directory at one of them, preferably the
+/// leader. Runs on the control thread.
 class control_links {
 public:
     struct observer {
         std::function<void(directory::snapshot_ptr)> on_directory;
-        std::function<void(std::vector<entry_instance>)> on_entries; ///< that take requests
+        std::function<void(std::vector<entry_instance>)> on_entries; ///< entries that accept requests
         std::function<void(std::vector<poison_request>)> on_poison_requests;
     };
 
@@ -32,7 +32,7 @@
 
     void set_seeds(const std::vector<std::string>& ips);
     void send_report(const traffic_report& report);
-    /// Tells the control instances that this entry takes no more requests of other entries.
+    /// Tells the control instances that this entry does not accept requests from other entries any more.
     void leave();
     const transport::peer_identity& self() const noexcept { return self_; }
 
@@ -45,7 +45,7 @@
 
     void dial(const std::string& name);
     transport::peer_link& link(const std::string& name);
-    /// Tells a control instance whether this entry takes requests.
+    /// Tells a control instance whether this entry accepts requests.
     void send_join(transport::peer_link& to) const;
     void on_link_state(const std::string& name, bool up);
     void on_frame(const std::string& name, const transport::frame& received);
@@ -62,7 +62,7 @@
     std::map<std::string, remote> remotes_;
     std::map<std::string, std::unique_ptr<transport::peer_link>> links_;
     bool leaving_ = false;
-    std::string source_; ///< control instance that is subscribed to
+    std::string source_; ///< control instance whose directory updates are subscribed to
     asio::steady_timer retry_timer_;
 };
 
--- a/src/router/control_node_reports.cpp
+++ b/src/router/control_node_reports.cpp
@@ -99,10 +99,10 @@
         const auto peer = it.second.lock();
         return !peer || !peer->open();
     });
-    for (const auto& watched : poison_detector_.list()) {
+    for (const auto& listed : poison_detector_.list()) {
         wire::WatchedRequest it;
-        it.digest = static_cast<std::int64_t>(watched.digest);
-        it.refused = watched.refused;
+        it.digest = static_cast<std::int64_t>(listed.digest);
+        it.refused = listed.refused;
         status.watched.push_back(it);
     }
     for (const auto& [name, it] : entries_) {
--- a/src/router/entry_process.cpp
+++ b/src/router/entry_process.cpp
@@ -87,9 +87,9 @@
             gates_->set_entries(std::move(entries));
         });
     };
-    callbacks.on_poison_requests = [this](std::vector<poison_request> named) {
+    callbacks.on_poison_requests = [this](std::vector<poison_request> listed) {
         asio::post(traffic_.io,
-                   [this, named = std::move(named)] { dispatcher_->set_poison_requests(named); });
+                   [this, listed = std::move(listed)] { dispatcher_->set_poison_requests(listed); });
     };
     links_ = std::make_unique<control_links>(control_.io, settings_, std::move(callbacks));
     make_gates();
--- a/src/router/gate_links.cpp
+++ b/src/router/gate_links.cpp
@@ -15,11 +15,11 @@
 
 using transport::frame_type;
 
-// The first choice and one to take its place while the list of entries still names a lost one.
+// The preferred gate and a substitute for the time in which a lost entry is still listed.
 constexpr std::size_t gates_per_upstream = 2;
-// Callers' connections have small numbers, those of links have numbers above this.
+// Keeps the numbers of links apart from those of callers' connections, which start at a low number.
 constexpr std::uint64_t first_link_connection = std::uint64_t{1} << 62;
-// Beyond the request's own limit, for the way back of the gate's answer.
+// Added to the request's time limit for the way back of the gate's answer.
 constexpr duration reply_reserve = std::chrono::milliseconds(100);
 
 std::uint32_t rendezvous_score(const std::string& entry, const std::string& upstream) {
--- a/src/router/gate_links.h
+++ b/src/router/gate_links.h
@@ -14,22 +14,22 @@
 
 namespace kingcupseam::router {
 
-/// One entry of the system, as the control group names it.
+/// An entry as listed by the control group.
 struct entry_instance {
-    std::string name; ///< address of its links
+    std::string name; ///< address at which other entries connect
     std::string data_center;
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted comparison.
     auto operator<=>(const entry_instance&) const = default;
 };
 
-/// Links between the entries. The gate of an upstream follows from the list of entries alone (rendezvous
-/// hashing), so entries agree on it without talking, and a lost entry moves only the upstreams that it gated.
-/// Lives on the traffic thread.
+/// Links between entries. Rendezvous hashing over the list of entries selects the gate of an upstream, so
+/// entries agree on it without coordination, and losing an entry moves only the upstreams that it was the
+/// gate of. Runs on the traffic thread.
 class gate_links : public gate_network {
 public:
-    /// What arrives from other entries.
+    /// Handlers of what other entries send.
     struct receiver {
-        /// @returns false when this entry does not take requests
+        /// @returns false when this entry does not accept the request
         std::function<bool(routed_request request, std::uint64_t connection, std::uint64_t number,
                            app::http_reply reply)>
             on_request;
@@ -40,7 +40,7 @@
     gate_links(asio::io_context& context, const transport::peer_identity& self,
                const endpoint_address& listen, receiver callbacks);
 
-    /// The entries that take requests now.
+    /// @param entries all entries that accept requests
     void set_entries(std::vector<entry_instance> entries);
 
     std::string gate_of(const directory::upstream& target) override;
@@ -50,8 +50,9 @@
 private:
     using connection_ptr = std::shared_ptr<transport::connection>;
 
+    /// The entries that may be the gate of @p target, best first.
     std::vector<std::string> rank_entries(const directory::upstream& target) const;
-    /// Null while the link is down; the first call dials it.
+    /// Null while the link is down; the first call starts to connect it.
     transport::peer_link* link(const std::string& name);
     void on_frame(const connection_ptr& from, const transport::frame& received);
     void on_routed_request(const connection_ptr& from, const transport::frame& received);
@@ -63,7 +64,7 @@
     std::vector<entry_instance> entries_;
     std::unordered_map<std::string, std::vector<std::string>> ranked_entries_; ///< by upstream id
     std::map<std::string, std::unique_ptr<transport::peer_link>> links_;
-    std::map<connection_ptr, std::uint64_t> connections_; ///< accepted ones that sent requests
+    std::map<connection_ptr, std::uint64_t> connections_; ///< accepted connections that have sent requests
     std::uint64_t next_connection_;
     transport::peer_server server_;
 };
--- a/src/router/gate_network.h
+++ b/src/router/gate_network.h
@@ -13,21 +13,21 @@
 
 namespace kingcupseam::router {
 
-/// A request on its way from the entry that received it to the gate of its upstream.
+/// A request that an entry forwards to the gate of its upstream.
 struct routed_request {
     caller_request request;
     std::string service;
     execution runs = execution::idempotent;
     std::int32_t priority = 0;
     std::int32_t attempts = 1;
-    std::int32_t hops = 1;       ///< entries that it has come through
+    std::int32_t hops = 1;       ///< entries that have handled it so far
     duration time_left{};        ///< until the caller's or the route's limit
-    duration target_time_left{}; ///< until the target latency; negative when it has passed
+    duration target_time_left{}; ///< until the target latency; negative after it
 };
 
 enum class routed_end : std::uint8_t {
-    answered,  ///< the gate's answer is final
-    not_taken, ///< it has not run and may be sent another way
+    answered,  ///< the gate's answer is the answer to the caller
+    not_taken, ///< it has not run and may be sent by another entry
     lost,      ///< the gate may have sent it to an upstream
 };
 
@@ -36,9 +36,9 @@
     app::http_response answer; ///< when answered
 };
 
-/// The other entries. The gate of an upstream is the entry of its data centre that sends all requests to it,
-/// so that one queue knows its free slots. Any entry may still send to any upstream: a gate saves waiting and
-/// bytes, it protects no invariant.
+/// Forwards requests to other entries. The gate of an upstream is the entry of its data centre that sends all
+/// requests to it, so that a single queue knows its free slots. Any entry may still send to any upstream: a
+/// gate reduces waiting and traffic, and correctness does not depend on it.
 class gate_network {
 public:
     using on_end = std::function<void(routed_result)>;
@@ -48,9 +48,9 @@
     gate_network& operator=(const gate_network&) = delete;
     virtual ~gate_network() = default;
 
-    /// Name of the entry that is the gate of @p target; empty when this entry sends to it itself.
+    /// Name of the gate of @p target; empty when this entry sends to the upstream itself.
     virtual std::string gate_of(const directory::upstream& target) = 0;
-    /// @p done is called once, later, unless the request is withdrawn first.
+    /// Calls @p done once, asynchronously, unless the request is withdrawn first.
     /// @returns a number for withdraw()
     virtual std::uint64_t forward(const std::string& gate, const routed_request& request, on_end done) = 0;
     virtual void withdraw(const std::string& gate, std::uint64_t number) = 0;
--- a/src/router/poison_requests.cpp
+++ b/src/router/poison_requests.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// An upstream that crashed is back, or replaced at its address, within this time.
+// A crashed upstream is restarted, or replaced at its address, within this time.
 constexpr duration max_restart_time = std::chrono::seconds(30);
-// A crash breaks as many requests as the upstream has slots; beyond this, connections break for other
-// reasons.
+// A crash interrupts at most as many requests as the upstream has slots. More interrupted requests than this
+// have other causes.
 constexpr std::size_t max_interrupted_requests = 256;
-// A refused request that no leader names any more is sent again after this time.
+// A refused request that no leader lists any more is allowed again after this time.
 constexpr duration refusal_retention = std::chrono::minutes(10);
 
 bool was_replaced(const directory::upstream& target, const directory::snapshot& state) {
--- a/src/router/poison_requests.h
+++ b/src/router/poison_requests.h
@@ -11,29 +11,29 @@
 
 namespace kingcupseam::router {
 
-/// What repetitions of a request have in common: a hash of all but its id.
+/// Hash of a request without its id, the same for all attempts and retries of it.
 using request_digest = std::uint64_t;
 
-/// A request that was at work when its upstream ended.
+/// A request that was in flight when its upstream crashed.
 struct crash_report {
     request_digest digest = 0;
     directory::upstream_incarnation upstream;
     bool operator==(const crash_report&) const = default;
 };
 
-/// A request that upstreams have ended with.
+/// A request that was in flight in crashes of upstreams. It is refused once there are too many of them.
 struct poison_request {
     request_digest digest = 0;
-    bool refused = false; ///< not sent any more; otherwise entries report when it is answered
+    bool refused = false; ///< not sent any more; until then entries report when it is answered
     bool operator==(const poison_request&) const = default;
 };
 
-/// An entry's record of broken requests, until it shows whether the upstream ended with them: it is followed
-/// by a later life under its id or at its address.
+/// An entry's record of requests whose connection broke. The directory shows later whether the upstream had
+/// crashed: a later incarnation then appears under its id or at its address.
 class interrupted_requests {
 public:
     void add(request_digest digest, const directory::upstream& target, time_point now);
-    /// Takes out the requests whose upstream has ended since they were added.
+    /// Removes and returns the requests whose upstream has been restarted or replaced since.
     std::vector<crash_report> take_crashes(const directory::snapshot& state, time_point now);
 
 private:
@@ -46,21 +46,21 @@
 };
 
 struct poison_request_options {
-    /// Upstreams that a request may end before it is refused. A request that is at work by chance when an
-    /// upstream ends is answered by the next one, so it does not get there.
+    /// Number of crashed upstreams at which a request is refused. A request that is in flight by chance does
+    /// not reach it, since the next upstream answers it.
     std::size_t crash_limit = 3;
-    duration retention = std::chrono::minutes(10); ///< after its last crash a request gets another try
-    std::size_t max_records = 512;                 ///< watched at once; the oldest is dropped
+    duration retention = std::chrono::minutes(10); ///< after its last crash a request is allowed again
+    std::size_t max_records = 512;                 ///< the one with the oldest crash is dropped
 };
 
-/// The leader's record of the crashes that all entries report.
+/// The leader's record of crashes that the entries report.
 class poison_request_detector {
 public:
     explicit poison_request_detector(poison_request_options settings = {}) : settings_(settings) {}
 
     /// @returns true when the request is refused from now on
     bool on_crash(const crash_report& report, time_point now);
-    /// An upstream answered it: not the request was the cause of the crashes before.
+    /// An upstream answered the request, so it did not cause the earlier crashes.
     void on_survived(request_digest digest);
     void expire(time_point now);
     std::vector<poison_request> list() const;
@@ -76,20 +76,20 @@
     std::map<request_digest, record> records_;
 };
 
-/// An entry's copy of the leader's record. Refused requests are kept when a new leader does not know them
+/// An entry's copy of the leader's list. A refused request stays refused when a new leader does not know it
 /// yet.
 class known_poison_requests {
 public:
     void update(const std::vector<poison_request>& listed, time_point now);
     bool empty() const noexcept { return records_.empty(); }
     bool is_refused(request_digest digest, time_point now) const;
-    /// @returns true for a request that is watched and not refused
+    /// @returns true for a request that is listed and not refused
     bool needs_answer_report(request_digest digest) const;
 
 private:
     struct record {
         bool refused = false;
-        time_point last_named; ///< by a leader, the last time
+        time_point last_named; ///< when a leader last listed it
     };
     std::map<request_digest, record> records_;
 };
--- a/src/router/retry_budget.h
+++ b/src/router/retry_budget.h
@@ -7,22 +7,22 @@
 namespace kingcupseam::router {
 
 struct retry_budget_options {
-    double ratio = 0.2;
-    double slack = 60; ///< of all entries together
+    double ratio = 0.2; ///< retries per request
+    double slack = 60;  ///< retries beyond the ratio in a window, over all entries
     duration window = std::chrono::seconds(10);
-    /// Part of the allowance that is used: other entries may count more entries than there are.
+    /// Fraction of the budget that is used, a margin for entries that disagree on the number of entries.
     double used_fraction = 0.6;
 };
 
-/// This entry's share of the repeats that all entries may send to one service in any window of the given
-/// length.
+/// This entry's share of the retries that all entries together may send to one service in any window of
+/// the given length.
 class retry_budget {
 public:
     explicit retry_budget(retry_budget_options settings) : settings_(settings) {}
 
     void on_first_send(time_point now);
     /// @param entries number of entries that share the slack, at least 1
-    /// @returns false when another repeat could exceed the share; true counts it
+    /// @returns false when another retry could exceed the share; otherwise counts the retry
     bool try_retry(int entries, time_point now);
 
 private:
--- a/src/router/upstream_client.cpp
+++ b/src/router/upstream_client.cpp
@@ -68,7 +68,7 @@
             return candidate;
         }
         if (candidate->open() && now < candidate->idle_until()) {
-            // Too long idle for this request only; older ones lie deeper.
+            // Idle too long for this request only; the remaining connections have been idle even longer.
             return nullptr;
         }
         it->second.pop_back();
--- a/src/router/upstream_client.h
+++ b/src/router/upstream_client.h
@@ -19,10 +19,10 @@
 /// How the exchange of one request with an upstream ended.
 enum class exchange_end : std::uint8_t {
     answered,
-    not_sent,  ///< no byte reached a connection: the upstream cannot have seen it
-    broken,    ///< the connection ended without a complete answer
-    malformed, ///< bytes that are no answer
-    timeout,   ///< sent, and no complete answer in time
+    not_sent,  ///< nothing was written to a connection: the upstream cannot have received it
+    broken,    ///< the connection ended before the answer was complete
+    malformed, ///< the bytes received are not an HTTP answer
+    timeout,   ///< sent, but the answer was not complete in time
 };
 
 struct exchange_result {
@@ -32,25 +32,26 @@
 
 struct exchange {
     endpoint_address target;
-    std::string bytes; ///< the request as it is sent
-    std::string id;    ///< answers with another id are dropped; empty to take any
+    std::string bytes; ///< the serialized request
+    std::string id;    ///< answers with another id are dropped; empty to accept any
     duration timeout{};
     bool new_connection = false;
-    duration max_idle = std::chrono::seconds(60); ///< longest time that a kept connection may have been idle
+    duration max_idle = std::chrono::seconds(60); ///< longest idle time of a connection that is reused
 };
 
 struct upstream_client_options {
-    std::string id_header; ///< header in which an upstream repeats the id of the request
+    std::string id_header; ///< header in which an upstream returns the request id
     duration connect_timeout = std::chrono::milliseconds(300);
-    /// Kept connections are closed after this, unless the upstream names a shorter time.
+    /// Idle connections are closed after this time, or earlier if the upstream sends a shorter Keep-Alive
+    /// timeout.
     duration idle_timeout = std::chrono::seconds(8);
     std::size_t max_answer_bytes = 64 * 1024 * 1024;
 };
 
 class upstream_connection;
 
-/// HTTP/1.1 client towards upstreams: one request at a time on a connection, kept connections, answers
-/// matched by id, and a report whether a request can have arrived. Used on its io_context's thread.
+/// HTTP/1.1 client with a connection pool and one request at a time on a connection. It matches answers by
+/// request id and reports whether a failed request may have arrived. Used on its io_context's thread.
 class upstream_client {
 public:
     using on_end = std::function<void(exchange_result)>;
@@ -60,12 +61,13 @@
     upstream_client(const upstream_client&) = delete;
     upstream_client& operator=(const upstream_client&) = delete;
 
-    /// @p done is called once, later, unless the exchange is cancelled. A timeout resets the connection, so
-    /// what is not delivered by then never arrives.
+    /// Calls @p done once, asynchronously, unless the exchange is cancelled. A timeout resets the connection,
+    /// so that bytes not delivered by then never arrive.
+    /// @returns an id for cancel()
     std::uint64_t send(exchange request, on_end done);
     /// Resets the connection of an exchange.
     void cancel(std::uint64_t id);
-    /// Closes the kept connections to an address.
+    /// Closes the idle connections to an address.
     void close_idle(const endpoint_address& target);
     std::uint64_t connections_opened() const noexcept { return opened_; }
 
--- a/src/router/upstream_connection.cpp
+++ b/src/router/upstream_connection.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-// A peer that acknowledges nothing for this long is gone.
+// A peer that acknowledges nothing for this long is considered dead.
 constexpr duration unacknowledged_limit = std::chrono::seconds(3);
-// The upstream closes an idle connection on its own; a request that meets the close is lost.
+// Idle connections are dropped this much before the upstream closes them: a request sent during the close is
+// lost.
 constexpr duration idle_margin = std::chrono::milliseconds(1000);
 
-/// Seconds that "Keep-Alive: timeout=N" grants.
+/// Value of "Keep-Alive: timeout=N".
 std::optional<duration> keep_alive_timeout(const app::http_response& answer) {
     const std::string text = answer.header("Keep-Alive");
     const auto at = text.find("timeout=");
@@ -92,7 +93,7 @@
     asio::async_write(socket_, asio::buffer(request_.bytes),
                       [it = shared_from_this()](const asio::error_code& ec, std::size_t) {
                           it->writing_ = false;
-                          // A failure shows at the reading side too, where an early answer may still arrive.
+                          // The read fails too, unless an early answer arrives.
                           if (ec && !it->closed_ && !it->reading_) {
                               it->finish(exchange_end::broken);
                           }
@@ -112,7 +113,7 @@
 
 void upstream_connection::on_read(const asio::error_code& ec, std::size_t n) {
     if (!done_) {
-        // Idle: an end of the connection, or bytes that no request asked for.
+        // Idle connection: closed by the peer, or unexpected bytes.
         owner_.on_idle_closed(shared_from_this());
         reset();
         return;
@@ -145,7 +146,7 @@
         bytes.remove_prefix(std::min(used, bytes.size()));
         const std::string id = parser_.answer().header(owner_.settings_.id_header);
         if (!request_.id.empty() && !id.empty() && id != request_.id) {
-            // A second answer of an earlier request; ours may follow.
+            // A second answer to an earlier request; the one for this request may follow.
             stale_answer_ = true;
             parser_.reset();
             continue;
--- a/src/router/upstream_connection.h
+++ b/src/router/upstream_connection.h
@@ -7,13 +7,13 @@
 
 namespace kingcupseam::router {
 
-/// One connection to an upstream; belongs to an exchange or is idle.
+/// One connection to an upstream; it either carries an exchange or is idle.
 class upstream_connection : public std::enable_shared_from_this<upstream_connection> {
 public:
     upstream_connection(upstream_client& owner, asio::io_context& context, endpoint_address target);
 
     void start(std::uint64_t exchange_id, exchange request, upstream_client::on_end done);
-    /// Ends the connection with a reset, so that bytes which are still on their way are lost.
+    /// Closes the connection with a TCP reset, which discards bytes that are still in transit.
     void reset();
 
     const endpoint_address& target() const noexcept { return target_; }
@@ -45,9 +45,9 @@
     time_point idle_until_;
     bool open_ = false; ///< connected and usable
     bool writing_ = false;
-    bool sent_ = false; ///< a byte of the current request may have left
+    bool sent_ = false; ///< part of the current request may have been sent
     bool reading_ = false;
-    bool stale_answer_ = false; ///< an answer of another request arrived: not to be kept
+    bool stale_answer_ = false; ///< an answer to another request arrived: not reused
     bool closed_ = false;
 };
 
--- a/src/router/upstream_queue.cpp
+++ b/src/router/upstream_queue.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-// An upstream queues some requests itself; its answers tell when that queue grows.
+// An upstream queues some requests itself and reports the length of its queue in its answers.
 constexpr double max_window_per_slot = 4;
-// Ten entries that share two slots need a fifth each; a smaller window takes seconds to grow again.
+// Ten entries that share two slots need a window of 0.2 each; a smaller one takes seconds to grow again.
 constexpr double min_window = 0.1;
-constexpr double window_increment = 0.25;           ///< growth with each answer that reports a short queue
-constexpr double small_window_growth_factor = 1.25; ///< factor instead, below one
-constexpr double idle_window_growth_factor = 2;     ///< factor instead, below one, when nothing waits there
-constexpr double overload_decrease_factor =
-    0.8; ///< with each answer that reports more waiting requests than slots
+constexpr double window_increment = 0.25;           ///< added per answer that reports a short queue
+constexpr double small_window_growth_factor = 1.25; ///< instead, while the window is below one
+constexpr double idle_window_growth_factor = 2;     ///< instead, below one, when nothing waits there
+/// Per answer that reports more waiting requests than slots.
+constexpr double overload_decrease_factor = 0.8;
 constexpr double shed_decrease_factor = 0.5;
 constexpr duration shed_pause = std::chrono::milliseconds(20);
-/// Failures in a row after which a lane closes, and for how long at first and at most.
+/// The ejection time doubles with each further failure.
 constexpr std::uint32_t failures_before_ejection = 2;
 constexpr duration base_ejection_time = std::chrono::milliseconds(200);
 constexpr std::uint32_t max_ejection_doublings = 3;
--- a/tests/router/gate_links_test.cpp
+++ b/tests/router/gate_links_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr duration max_test_time = std::chrono::seconds(5);
 
-/// One entry with its links; requests that reach it are kept until the test answers.
+/// An entry with its links; it stores received requests for the test to answer.
 class node {
 public:
     node(asio::io_context& context, const std::string& data_center)
@@ -71,7 +71,7 @@
 
 } // namespace
 
-TEST_CASE("entries pass requests on to the gate of an upstream") {
+TEST_CASE("entries forward requests to the gate of an upstream") {
     asio::io_context context;
     node here(context, "north");
     node there(context, "south");
@@ -89,13 +89,13 @@
     };
     const auto far = upstream("u", "south");
 
-    SUBCASE("an upstream of the own data centre is sent to from here") {
+    SUBCASE("this entry is the gate of an upstream of its data centre") {
         CHECK(here.links.gate_of(upstream("u", "north")).empty());
     }
-    SUBCASE("so is one of a data centre without entries") {
+    SUBCASE("an upstream of a data centre without entries has no other gate") {
         CHECK(here.links.gate_of(upstream("u", "west")).empty());
     }
-    SUBCASE("the first request to another data centre dials the gate and does not wait for it") {
+    SUBCASE("the first request for another data centre starts the link and does not wait for it") {
         CHECK(here.links.gate_of(far).empty());
         REQUIRE(run_until([&] { return !here.links.gate_of(far).empty(); }));
         CHECK(here.links.gate_of(far) == to_string(there.address));
@@ -106,7 +106,7 @@
         REQUIRE(run_until([&] { return !there.requests.empty(); }));
         const auto& got = there.requests.front();
 
-        SUBCASE("the request arrives whole") {
+        SUBCASE("the gate receives all fields of the request") {
             const routed_request sent = make_request();
             CHECK(got.request.request.id == sent.request.id);
             CHECK(got.request.request.method == sent.request.method);
@@ -123,7 +123,7 @@
             CHECK(got.request.time_left == sent.time_left);
             CHECK(got.request.target_time_left == sent.target_time_left);
         }
-        SUBCASE("and its answer comes back whole") {
+        SUBCASE("the entry receives all fields of the answer") {
             got.reply({201, {{"X-Signature", "sig"}}, std::string("x\0y", 3), false});
             REQUIRE(run_until([&] { return result.has_value(); }));
             CHECK(result->end == routed_end::answered);
@@ -131,7 +131,7 @@
             CHECK(result->answer.header("X-Signature") == "sig");
             CHECK(result->answer.body == std::string("x\0y", 3));
         }
-        SUBCASE("the gate is told when the caller has left, and its answer goes nowhere") {
+        SUBCASE("a withdrawal reaches the gate, and its answer is dropped") {
             here.links.withdraw(to_string(there.address), number);
             REQUIRE(run_until([&] { return !there.withdrawn.empty(); }));
             CHECK(there.withdrawn.front() == got.number);
@@ -139,7 +139,7 @@
             context.run_for(milliseconds(50));
             CHECK_FALSE(result);
         }
-        SUBCASE("a gate that stops taking requests says so") {
+        SUBCASE("a gate that does not accept requests reports it") {
             there.accepts = false;
             std::optional<routed_result> second;
             here.links.forward(to_string(there.address), make_request(),
@@ -148,8 +148,8 @@
             CHECK(second->end == routed_end::not_taken);
         }
     }
-    // Guards against a gate that works on for callers whose entry has died.
-    SUBCASE("the gate learns that the entry has gone") {
+    // Guards against a gate that continues with requests of a dead entry.
+    SUBCASE("the gate detects the loss of the entry") {
         std::optional<node> third(std::in_place, context, "north");
         third->links.set_entries(entries);
         REQUIRE(run_until([&] { return !third->links.gate_of(far).empty(); }));
@@ -159,13 +159,13 @@
         REQUIRE(run_until([&] { return !there.disconnected.empty(); }));
         CHECK(there.disconnected.front() == there.requests.front().connection);
     }
-    // Guards against requests that are told nothing when their gate dies.
-    SUBCASE("a gate that is lost leaves its requests in doubt, and the next one takes over") {
+    // Guards against requests that never end when their gate dies.
+    SUBCASE("requests of a lost gate end as lost, and the next entry becomes the gate") {
         std::optional<node> other(std::in_place, context, "south");
         auto more = entries;
         more.push_back({to_string(other->address), "south"});
         here.links.set_entries(more);
-        // Which of the two is the gate follows from hashing; one of these upstreams belongs to the second.
+        // The hash decides which entry is the gate; at least one of these upstreams has the second one.
         std::optional<directory::upstream> gated;
         REQUIRE(run_until([&] {
             for (int i = 0; i < 20 && !gated; ++i) {
--- a/tests/router/poison_requests_test.cpp
+++ b/tests/router/poison_requests_test.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("a broken request counts as a crash only when its upstream is followed by a later life") {
+TEST_CASE("an interrupted request counts as a crash only when a later incarnation of the upstream appears") {
     const auto target = upstream_of("u", 1000, 80);
     directory::snapshot state;
     state.upstreams["u"] = target;
@@ -35,18 +35,18 @@
         state.upstreams["v"] = upstream_of("v", 2000, 80);
         CHECK(interrupted.take_crashes(state, start).size() == 1);
     }
-    SUBCASE("not when it only leaves") {
+    SUBCASE("not when the upstream only disappears") {
         state.upstreams.clear();
         CHECK(interrupted.take_crashes(state, start).empty());
     }
-    SUBCASE("not when the later life comes long afterwards") {
+    SUBCASE("not when the later incarnation appears long afterwards") {
         state.upstreams["u"] = upstream_of("u", 2000, 80);
         CHECK(interrupted.take_crashes(state, start + std::chrono::minutes(1)).empty());
     }
 }
 
-// Guards against a request that crashes one upstream after the other while its caller sends it again.
-TEST_CASE("a request that ends upstreams is refused after the third") {
+// Guards against a poison request that crashes one upstream after another while its caller retries it.
+TEST_CASE("a poison request is refused after the third crashed upstream") {
     poison_request_detector detector;
     CHECK_FALSE(detector.on_crash({poison, {"a", 1}}, start));
     CHECK(detector.list() == std::vector<poison_request>{{poison, false}});
@@ -60,21 +60,21 @@
         CHECK_FALSE(detector.on_crash({poison, {"b", 1}}, start));
         CHECK(detector.on_crash({poison, {"a", 2}}, start));
         CHECK(detector.list().front().refused);
-        detector.on_survived(poison); // an answer to an attempt that was sent before
+        detector.on_survived(poison); // an answer to an earlier attempt
         CHECK(detector.list().front().refused);
     }
-    // Guards against the refusal of a popular request, one of which is always at work when upstreams end.
-    SUBCASE("an answer in between shows that it was at work by chance") {
+    // Guards against refusing a frequent request that is in flight in every crash by chance.
+    SUBCASE("an answer between crashes clears the request") {
         CHECK_FALSE(detector.on_crash({poison, {"b", 1}}, start));
         detector.on_survived(poison);
         CHECK_FALSE(detector.on_crash({poison, {"c", 1}}, start));
         CHECK_FALSE(detector.list().front().refused);
     }
-    SUBCASE("after a while it gets another try") {
+    SUBCASE("the request is allowed again after the retention time") {
         detector.expire(start + std::chrono::minutes(11));
         CHECK(detector.list().empty());
     }
-    SUBCASE("the record is bounded") {
+    SUBCASE("the number of records is bounded") {
         for (request_digest digest = 100; digest < 1000; ++digest) {
             detector.on_crash({digest, {"a", 1}}, start + std::chrono::seconds(1));
         }
@@ -82,24 +82,24 @@
     }
 }
 
-TEST_CASE("an entry follows the leader's record") {
-    known_poison_requests watched;
-    CHECK(watched.empty());
-    watched.update({{poison, true}, {bystander, false}}, start);
-    CHECK(watched.is_refused(poison, start));
-    CHECK_FALSE(watched.is_refused(bystander, start));
-    CHECK(watched.needs_answer_report(bystander));
-    CHECK_FALSE(watched.needs_answer_report(poison));
+TEST_CASE("an entry follows the leader's list of poison requests") {
+    known_poison_requests known;
+    CHECK(known.empty());
+    known.update({{poison, true}, {bystander, false}}, start);
+    CHECK(known.is_refused(poison, start));
+    CHECK_FALSE(known.is_refused(bystander, start));
+    CHECK(known.needs_answer_report(bystander));
+    CHECK_FALSE(known.needs_answer_report(poison));
 
-    SUBCASE("what is not watched any more is forgotten") {
-        watched.update({{poison, true}}, start);
-        CHECK_FALSE(watched.needs_answer_report(bystander));
+    SUBCASE("a request that is not listed any more is forgotten") {
+        known.update({{poison, true}}, start);
+        CHECK_FALSE(known.needs_answer_report(bystander));
     }
-    SUBCASE("a new leader that knows nothing yet does not lift a refusal") {
-        watched.update({}, start);
-        CHECK(watched.is_refused(poison, start));
-        watched.update({}, start + std::chrono::minutes(11));
-        CHECK_FALSE(watched.is_refused(poison, start + std::chrono::minutes(11)));
+    SUBCASE("a new leader with an empty list does not lift a refusal at once") {
+        known.update({}, start);
+        CHECK(known.is_refused(poison, start));
+        known.update({}, start + std::chrono::minutes(11));
+        CHECK_FALSE(known.is_refused(poison, start + std::chrono::minutes(11)));
     }
 }
 
--- a/tests/router/retry_budget_test.cpp
+++ b/tests/router/retry_budget_test.cpp
@@ -4,9 +4,9 @@
 
 namespace kingcupseam::router {
 
-// Guards against retry storms: the users allow repeats up to a ratio of the requests plus a slack, in any
-// window, over all entries together.
-TEST_CASE("all entries together keep the allowance of repeats") {
+// Guards against retry storms: retries are limited to a ratio of the requests plus a slack, in any window and
+// over all entries together.
+TEST_CASE("all entries together stay within the retry budget") {
     constexpr int entries = 10;
     constexpr int requests = 200;
     const retry_budget_options settings{0.2, 60, std::chrono::seconds(10)};
@@ -26,7 +26,7 @@
     CHECK(retries <= settings.ratio * requests * entries + settings.slack);
 }
 
-TEST_CASE("an entry without requests has its share of the slack, again in each window") {
+TEST_CASE("an entry without requests has its share of the slack in each window") {
     retry_budget budget({0.2, 60, std::chrono::seconds(10)});
     const time_point now{std::chrono::seconds(100)};
     int retries = 0;
--- a/tests/router/upstream_client_test.cpp
+++ b/tests/router/upstream_client_test.cpp
@@ -17,8 +17,8 @@
 
 const std::string ok_answer = "HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nhi";
 
-/// Upstream that accepts connections and answers each request with the next of some prepared byte strings. An
-/// empty one closes the connection; "reset" resets it.
+/// Answers each request with the next of the given byte strings. An empty string closes the connection,
+/// "reset" resets it, and "silence" sends nothing.
 class scripted_upstream {
 public:
     scripted_upstream(asio::io_context& context, std::vector<std::string> answers)
@@ -105,7 +105,7 @@
 
 } // namespace
 
-TEST_CASE("one connection carries many requests") {
+TEST_CASE("a connection is reused") {
     harness it({ok_answer, ok_answer, ok_answer});
     for (int i = 0; i < 3; ++i) {
         const auto result = it.send(it.request());
@@ -115,23 +115,23 @@
     CHECK(it.upstream.connections == 1);
 }
 
-// Guards against handing a caller the answer of another request.
-TEST_CASE("an answer of an earlier request is dropped and the right one is taken") {
+// Guards against giving a caller the answer to another request.
+TEST_CASE("an answer to an earlier request is dropped") {
     const std::string late = "HTTP/1.1 200 OK\r\nX-Id: old\r\nContent-Length: 3\r\n\r\nold";
     harness it({late + ok_answer, ok_answer});
     CHECK(it.send(it.request()).answer.body == "hi");
     it.send(it.request());
-    CHECK(it.upstream.connections == 2); // a connection that showed one is not used again
+    CHECK(it.upstream.connections == 2); // the connection is not reused after a stale answer
 }
 
-TEST_CASE("bytes behind a complete answer close the connection") {
+TEST_CASE("extra bytes after a complete answer close the connection") {
     harness it({ok_answer + "more", ok_answer});
     CHECK(it.send(it.request()).answer.body == "hi");
     CHECK(it.send(it.request()).answer.body == "hi");
     CHECK(it.upstream.connections == 2);
 }
 
-TEST_CASE("an answer that ends early is not complete") {
+TEST_CASE("an answer that is cut off is not complete") {
     const std::string cut = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhi";
     SUBCASE("with a length") {
         harness it({cut + "", "reset"});
@@ -145,7 +145,7 @@
         harness it({"reset"});
         CHECK(it.send(it.request()).end == exchange_end::broken);
     }
-    SUBCASE("without a length, by an orderly end: that is the whole answer") {
+    SUBCASE("an answer without a length is complete at the end of the connection") {
         harness it({"HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nall"});
         const auto result = it.send(it.request());
         CHECK(result.end == exchange_end::answered);
@@ -153,19 +153,19 @@
     }
 }
 
-TEST_CASE("bytes that are no answer are malformed") {
+TEST_CASE("bytes that are not HTTP are malformed") {
     harness it({"\x01\x02 nonsense Length\r\n\r\n"});
     CHECK(it.send(it.request()).end == exchange_end::malformed);
 }
 
-TEST_CASE("a request that cannot have arrived is told apart from one that may have") {
+TEST_CASE("the result tells whether the request may have arrived") {
     harness it({"silence"});
-    SUBCASE("nobody listens") {
+    SUBCASE("connection refused: not sent") {
         auto wanted = it.request();
         it.upstream.stop();
         CHECK(it.send(std::move(wanted)).end == exchange_end::not_sent);
     }
-    SUBCASE("the upstream stays silent") {
+    SUBCASE("no answer: timeout") {
         CHECK(it.send(it.request()).end == exchange_end::timeout);
     }
 }
--- a/tests/router/upstream_queue_test.cpp
+++ b/tests/router/upstream_queue_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr duration service_time = milliseconds(100);
 
-/// Sends whenever the lane has room for 10 s from @p start; each answer reports @p load.
+/// Sends whenever the window allows, for 10 s from @p start; each answer reports @p load.
 int count_sends(upstream_queue& target, const reported_load& load, time_point start) {
     int n = 0;
     for (time_point now = start; now < start + std::chrono::seconds(10); now += milliseconds(5)) {
@@ -25,31 +25,30 @@
 
 } // namespace
 
-TEST_CASE("a lane shares an upstream with other entries") {
+TEST_CASE("the queue of a shared upstream adapts its window to the reported load") {
     upstream_queue target({{"u", 1}, "s", "d", {"127.0.0.1", 1}, 2, false, false}, upstream_use::shared);
     const time_point now{std::chrono::seconds(1)};
 
-    SUBCASE("it starts with as many requests as the upstream has slots") {
+    SUBCASE("the window starts at the number of slots") {
         target.on_sent(now);
         CHECK(target.can_send(now));
         target.on_sent(now);
         CHECK_FALSE(target.can_send(now));
     }
 
-    // Guards against ten entries that each keep a request at an upstream with two slots, which makes all
-    // late.
-    SUBCASE(
-        "while more wait there than it has slots, the lane sends less than one request in a service time") {
+    // Guards against ten entries that each keep a request at an upstream with two slots: all requests are
+    // late then.
+    SUBCASE("with more requests waiting there than slots, it sends less than one request per service time") {
         // Two slots serve 200 requests of 100 ms in 10 s: 20 for each of ten entries.
         CHECK(count_sends(target, {2, 8, 2}, now) <= 20);
-        SUBCASE("and it recovers when the queue there is short") {
+        SUBCASE("and recovers when the upstream's queue is short") {
             CHECK(count_sends(target, {1, 0, 2}, now + std::chrono::seconds(10)) > 500);
         }
     }
 
-    // Guards against closing on an upstream that is faulty, not full: on a day with such upstreams a sixth of
-    // all requests was refused.
-    SUBCASE("an upstream that turns requests away at random keeps its window") {
+    // Guards against shrinking the window of an upstream that is faulty but not full: a sixth of all requests
+    // was refused when upstreams were faulty.
+    SUBCASE("a refusal does not shrink the window while the upstream reports room") {
         for (int i = 0; i < 20; ++i) {
             target.on_sent(now);
             target.on_shed(reported_load{1, 0, 2}, now);
@@ -58,7 +57,7 @@
         CHECK(target.can_send(now));
     }
 
-    SUBCASE("an upstream that is full closes the window") {
+    SUBCASE("a refusal by a full upstream shrinks the window") {
         for (int i = 0; i < 3; ++i) {
             target.on_sent(now);
             target.on_shed(reported_load{2, 8, 2}, now);
@@ -67,7 +66,7 @@
         CHECK_FALSE(target.can_send(now + milliseconds(50)));
     }
 
-    SUBCASE("the lower rank number goes first, then the earlier request") {
+    SUBCASE("the lower priority number is sent first, then the earlier request") {
         target.push(2, 1);
         target.push(0, 2);
         target.push(0, 3);
@@ -77,7 +76,7 @@
         CHECK_FALSE(target.pop());
     }
 
-    SUBCASE("after two failures in a row it closes for a while") {
+    SUBCASE("an upstream is ejected for a while after two failures in a row") {
         target.on_sent(now);
         target.on_failed(now);
         CHECK(target.can_send(now));
@@ -89,9 +88,9 @@
     }
 }
 
-// Guards against a gate that leaves slots idle, or fills the upstream's own queue, where rank counts for
-// nothing.
-TEST_CASE("the lane of a gate has as many requests in flight as the upstream has slots") {
+// Guards against a gate that leaves slots idle, or that fills the upstream's own queue, where priority has no
+// effect.
+TEST_CASE("a gate has as many requests in flight as the upstream has slots") {
     upstream_queue target({{"u", 1}, "s", "d", {"127.0.0.1", 1}, 2, false, false}, upstream_use::exclusive);
     const time_point now{std::chrono::seconds(1)};
     target.on_sent(now);
@@ -99,14 +98,14 @@
     target.on_sent(now);
     CHECK_FALSE(target.can_send(now));
 
-    SUBCASE("also after answers that report an empty upstream") {
+    SUBCASE("also after answers that report an idle upstream") {
         for (int i = 0; i < 50; ++i) {
             target.on_answered(service_time, reported_load{0, 0, 2}, now);
             target.on_sent(now);
         }
         CHECK_FALSE(target.can_send(now));
     }
-    SUBCASE("also after answers that report a crowded one") {
+    SUBCASE("also after answers that report a full queue") {
         for (int i = 0; i < 50; ++i) {
             target.on_answered(service_time, reported_load{2, 8, 2}, now);
             target.on_sent(now);
@@ -114,7 +113,7 @@
         target.on_answered(service_time, reported_load{2, 8, 2}, now);
         CHECK(target.can_send(now));
     }
-    SUBCASE("and waits a moment when the upstream is full all the same") {
+    SUBCASE("and pauses briefly when the upstream refuses a request as full") {
         target.on_shed(reported_load{2, 8, 2}, now);
         CHECK_FALSE(target.can_send(now));
         CHECK(target.can_send(now + milliseconds(50)));
