--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -19,15 +19,16 @@
 using transport::frame_type;
 
 constexpr std::uint64_t control_group_number = 1;
-// Machines may have a tenth of a core and run for a part of each 100 ms only, so the group's clock is slow.
+// Long intervals: a machine may have a tenth of a core and run only in a part of each 100 ms.
 constexpr duration heartbeat_interval = std::chrono::milliseconds(120);
 constexpr duration election_timeout = std::chrono::milliseconds(700);
 constexpr duration tick_interval = std::chrono::milliseconds(40);
 constexpr duration lease_manager_interval = std::chrono::milliseconds(80);
 constexpr duration join_interval = std::chrono::seconds(1);
 constexpr duration decay_interval = std::chrono::milliseconds(500);
-constexpr double decay_factor = 0.8; ///< demand halves within 1.6 s, the length of a third of a hot spell
-constexpr duration max_upstream_silence = std::chrono::seconds(40); ///< outlasts cuts of zones and machines
+constexpr double decay_factor = 0.8; ///< demand halves in 1.6 s, about a third of the duration of a hot key
+constexpr duration max_upstream_silence =
+    std::chrono::seconds(40); ///< longer than outages of zones and machines
 
 } // namespace
 
@@ -69,7 +70,8 @@
     options.self = self_;
     options.heartbeat_interval = heartbeat_interval;
     options.election_timeout = election_timeout;
-    options.elect_after_restart = true; // the keeper waits for orders of a former leader, see on_leadership()
+    options.elect_after_restart =
+        true; // the lease manager waits for a former leader's orders, see on_leadership_change()
     options.seed = opened.store->identity();
     group_ =
         std::make_unique<app::replicated_group>(options, std::move(opened.store), machine_,
@@ -101,7 +103,7 @@
 
 void control_node::send_message(const consensus::message& message) {
     if (message.to.name == self_.name) {
-        return; // a former life of this instance
+        return; // a former incarnation of this instance
     }
     dial(message.to.name);
     mesh_->link_to(message.to.name, parse_endpoint("control group", "member", message.to.name))
@@ -181,17 +183,17 @@
 void control_node::on_leadership_change(bool leading, time_point now) {
     was_leading_ = leading;
     const std::uint64_t term = group_->node().term();
-    // A leader that was out of touch for a moment and still leads the same term: no other one has led
-    // meanwhile, so what it knows of the leases is still all there is to know.
+    // A leader that was out of contact and still leads the same term: no other member has led meanwhile, so
+    // its knowledge of the leases is complete.
     const bool resumes = leading && lease_manager_ && lease_manager_term_ == term;
     if (leading && !resumes) {
         ++lease_manager_generation_;
         lease_manager_term_ = term;
         key_ranges::lease_manager_options options;
-        // The clock error of an upstream is part of the longest hold that is allowed.
+        // Leaves a margin below the longest allowed hold for the clock error of upstreams.
         options.lease_time = std::min(settings_.max_hold, duration(std::chrono::seconds(9)));
         options.announce_timeout = settings_.announce_interval * 3;
-        // Orders of a former leader that has ended may still be on their way.
+        // Orders of a former leader may still be in transit.
         lease_manager_ = std::make_unique<key_ranges::lease_manager>(options, now + election_timeout);
         conditions_.clear();
         last_announcements_.clear();
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -24,8 +24,8 @@
 
 namespace kingcupseam::router {
 
-/// One member of the control group: the replicated directory, and while it leads, the leases of key ranges.
-/// Lives on the control thread.
+/// One member of the control group. Holds the replicated directory and, while it leads, manages the leases of
+/// key ranges. Runs on the control thread.
 class control_node : public control_api {
 public:
     /// Sends an order to an upstream; @p done is called on the control thread.
@@ -40,10 +40,11 @@
     void accept_configuration(directory::configuration wanted, on_accepted done) override;
     void read_configuration(on_document done) override;
 
-    /// Seeds of changed settings.
+    /// Connects to seeds that were added to the settings.
     void set_seeds(const std::vector<std::string>& ips);
 
 private:
+    /// The newest report of an upstream, to detect reports that arrive out of order.
     struct last_announcement {
         directory::upstream_incarnation upstream;
         std::int64_t sequence = 0;
@@ -68,7 +69,7 @@
     void broadcast_status();
     std::string status_payload();
     void propose(const directory::command& change, on_accepted done);
-    /// Passes an order on to the leader; @p done gets its answer, or nothing.
+    /// Forwards an order to the leader; @p done gets its answer, or nullopt when there is none.
     void forward(int kind, std::string payload, std::function<void(std::optional<std::string>)> done);
     bool is_stale(const announcement& report);
     std::string peer_name(const std::string& ip) const;
@@ -85,10 +86,11 @@
     std::unique_ptr<transport::peer_server> server_;
     std::set<std::string> dialled_;
     std::map<consensus::member_id, time_point> spares_; ///< control instances that may become voters
-    std::map<std::string, std::weak_ptr<transport::connection>> entries_; ///< that take requests, by name
+    std::map<std::string, std::weak_ptr<transport::connection>>
+        entries_; ///< entries that accept requests, by name
     std::unique_ptr<key_ranges::lease_manager> lease_manager_;
-    std::uint64_t lease_manager_term_ = 0;       ///< term in which the keeper was made
-    std::uint64_t lease_manager_generation_ = 0; ///< results for an earlier keeper are dropped
+    std::uint64_t lease_manager_term_ = 0;       ///< term in which the lease manager was created
+    std::uint64_t lease_manager_generation_ = 0; ///< results for an earlier lease manager are dropped
     std::map<std::string, key_ranges::upstream_condition> conditions_;
     std::map<std::string, last_announcement> last_announcements_;
     std::map<std::string, key_ranges::key_loads> demand_;
--- a/src/router/control_node_orders.cpp
+++ b/src/router/control_node_orders.cpp
@@ -6,7 +6,7 @@
 #include <directory_types.h>
 #include <spdlog/spdlog.h>
 
-// Orders of upstreams and operators: carried out by the leader, passed on by the others.
+// Orders of upstreams and operators: executed by the leader, forwarded to it by the other members.
 
 namespace kingcupseam::router {
 
@@ -56,7 +56,7 @@
     conditions_[report.upstream.incarnation.id].last_announced = steady_now();
     directory::command change;
     if (known != state.upstreams.end() && known->second.incarnation == report.upstream.incarnation) {
-        // A late report does not take back that the upstream leaves.
+        // A delayed report does not undo a departure or draining.
         report.upstream.left = known->second.left;
         report.upstream.draining = report.upstream.draining || known->second.draining;
         if (known->second == report.upstream) {
@@ -161,7 +161,7 @@
         answer(ok ? std::optional(std::string()) : std::nullopt);
     };
     if (!group_->leads()) {
-        answer(std::nullopt); // never passed on twice
+        answer(std::nullopt); // never forwarded twice
         return;
     }
     switch (order.kind) {
--- a/src/router/control_node_reports.cpp
+++ b/src/router/control_node_reports.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cmath>
 
-// What entries report, and what they are told of the control group and of each other.
+// Load and crash reports of entries, and the status that is sent to them.
 
 namespace kingcupseam::router {
 
@@ -16,10 +16,10 @@
 using transport::encode;
 using transport::frame_type;
 
-// Work differs from request to request; about ten answers outweigh the former average.
+// Service times vary between requests: about ten answers outweigh the former average.
 constexpr double average_decay_per_answer = 0.92;
-// Speeds relative to the median of the service. A slower one than this still gets a few keys, so that it is
-// seen when it recovers.
+// Bounds of the speed relative to the service's median. The lower bound gives a slow upstream a few keys, so
+// that its recovery is noticed.
 constexpr double min_speed = 0.08;
 constexpr double max_speed = 3.0;
 
--- a/src/router/control_orders.cpp
+++ b/src/router/control_orders.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-// Exists when this disk was there at the first start: its member has incarnation 0, the same for all seeds.
+// Exists on a disk that was present at the first start of the system: its member has incarnation 0 on all
+// seeds.
 constexpr const char* founder_file = "founder";
 
 void sync_path(const std::filesystem::path& path, int flags) {
--- a/src/router/control_orders.h
+++ b/src/router/control_orders.h
@@ -12,7 +12,7 @@
 
 namespace kingcupseam::router {
 
-/// Kinds of orders that a control instance passes on to the leader.
+/// Kinds of orders that a control instance forwards to the leader.
 inline constexpr int order_announce = 1;
 inline constexpr int order_depart = 2;
 inline constexpr int order_configure = 3;
@@ -27,8 +27,8 @@
     std::unique_ptr<storage::log_store> store;
 };
 
-/// Opens the log of this control instance. At the first start of the whole system the seeds are the first
-/// voters; a disk that comes back empty makes a new member, which does not vote before it is admitted.
+/// Opens the log of this control instance. At the first start of the system the seeds are the initial voters.
+/// An instance whose disk was lost is a new member, which does not vote before it is admitted.
 /// @throws io_error, storage::corrupt_log
 member_store open_member_store(const std::filesystem::path& folder, bool bootstrap,
                                const std::string& own_name, const std::vector<std::string>& seed_names);
--- a/src/router/control_process.cpp
+++ b/src/router/control_process.cpp
@@ -18,9 +18,9 @@
 
 constexpr int status_ok = 200;
 constexpr duration grant_timeout = std::chrono::milliseconds(700);
-// A release is answered when the work on its keys has ended.
+// A release is answered when no request runs on its keys any more.
 constexpr duration release_timeout = std::chrono::seconds(3);
-// A configuration with some thousand routes.
+// Enough for a configuration with some thousand routes.
 constexpr std::size_t max_order_bytes = std::size_t{8} * 1024 * 1024;
 
 std::string_view to_string(key_ranges::call_result value) {
--- a/src/router/directory_publisher.cpp
+++ b/src/router/directory_publisher.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-// Changes within this time leave in one update: a restart registers every upstream within a second.
+// Changes within this interval are sent in one update: after a restart every upstream registers within a
+// second.
 constexpr duration batch_interval = std::chrono::milliseconds(10);
 
 } // namespace
@@ -32,7 +33,7 @@
 }
 
 void directory_publisher::flush() {
-    std::map<const directory::snapshot*, std::string> encoded; // most subscribers hold the same state
+    std::map<const directory::snapshot*, std::string> encoded; // by base state, which most subscribers share
     for (auto it = subscribers_.begin(); it != subscribers_.end();) {
         const auto peer = it->second.peer.lock();
         if (!peer || !peer->open()) {
--- a/src/router/directory_publisher.h
+++ b/src/router/directory_publisher.h
@@ -11,12 +11,12 @@
 
 namespace kingcupseam::router {
 
-/// Sends the directory to the entries that subscribed: everything once, then differences.
+/// Sends the directory to subscribed entries: the whole state once, then differences.
 class directory_publisher {
 public:
     explicit directory_publisher(asio::io_context& context) : timer_(context) {}
 
-    /// @param known_index index that the subscriber holds; 0 for nothing
+    /// @param known_index index of the subscriber's directory; 0 when it has none
     void subscribe(const std::shared_ptr<transport::connection>& peer, std::uint64_t known_index);
     void publish(directory::snapshot_ptr current);
     std::size_t subscribers() const noexcept { return subscribers_.size(); }
@@ -32,7 +32,7 @@
     asio::steady_timer timer_;
     bool scheduled_ = false;
     directory::snapshot_ptr current_ = std::make_shared<const directory::snapshot>();
-    std::map<std::string, subscriber> subscribers_; ///< by name of the instance
+    std::map<std::string, subscriber> subscribers_; ///< by instance name
 };
 
 } // namespace kingcupseam::router
--- a/src/router/directory_state_machine.cpp
+++ b/src/router/directory_state_machine.cpp
@@ -11,7 +11,7 @@
         state_ = std::make_shared<const directory::snapshot>(
             directory::apply(*state_, directory::decode_command(command), index));
     } catch (const invalid_input& e) {
-        // Every member decides alike: the entry changes nothing.
+        // All members ignore the same entries, so their states stay equal.
         spdlog::error("directory entry ignored index={} problem=\"{}\"", index, e.what());
     }
     on_change_();
--- a/src/router/entry_process.cpp
+++ b/src/router/entry_process.cpp
@@ -19,14 +19,14 @@
 namespace {
 
 constexpr duration report_interval = std::chrono::milliseconds(300);
-// The balancer notices within two questions, a second apart, that an entry is not ready.
+// The load balancer detects an unready entry by two checks that are a second apart.
 constexpr duration min_unready_time = std::chrono::milliseconds(2600);
 constexpr duration stop_poll_interval = std::chrono::milliseconds(50);
-// A request that is taken later could outlast the process.
+// A request accepted later might not end before the process does.
 constexpr duration refuse_after = std::chrono::milliseconds(3000);
-// Left between the last answer and the kill signal.
+// Time between the last answer and the kill signal.
 constexpr duration stop_reserve = std::chrono::milliseconds(500);
-// Requests that a caller may have read ahead on one connection.
+// Limit of pipelined requests that are read from one connection.
 constexpr std::size_t max_pipelined = 16;
 
 class entry_process {
@@ -119,7 +119,7 @@
     options.max_body_bytes = std::size_t{64} * 1024 * 1024;
     options.max_pipelined = max_pipelined;
     options.on_connection_closed = [this](std::uint64_t connection) {
-        // The server may still be handing out an answer of this connection.
+        // Deferred, since the server may be delivering an answer on this connection.
         asio::post(traffic_.io, [this, connection] { dispatcher_->on_connection_closed(connection); });
     };
     callers_ = std::make_unique<app::http_server>(
--- a/src/router/full_disk_wait.cpp
+++ b/src/router/full_disk_wait.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Well below an election timeout, so that the wait adds little to the outage.
+// Well below an election timeout, so that it adds little to the outage.
 constexpr duration retry_interval = std::chrono::milliseconds(100);
-// Longer than a log rotation or a clean-up by the operators' tools takes.
+// Longer than a log rotation or a cleanup by operators' tools takes.
 constexpr duration max_wait = std::chrono::seconds(30);
 
 } // namespace
--- a/src/router/full_disk_wait.h
+++ b/src/router/full_disk_wait.h
@@ -5,8 +5,8 @@
 
 namespace kingcupseam::router {
 
-/// Waits on the control thread while the disk is full: this member then neither votes nor acknowledges, as on
-/// a disk that stalls. Gives up after a limit, so that a disk that stays full shows as a process that ends.
+/// Blocks the control thread while the disk is full: the member then neither votes nor acknowledges, as with
+/// a stalled disk. Gives up after a limit, so that the process exits if the disk stays full.
 class full_disk_wait final : public storage::full_disk_policy {
 public:
     bool wait_for_space(const io_error& failure) override;
--- a/src/router/gate_links.cpp
+++ b/src/router/gate_links.cpp
@@ -17,7 +17,7 @@
 
 // The preferred gate and a substitute for the time in which a lost entry is still listed.
 constexpr std::size_t gates_per_upstream = 2;
-// Keeps the numbers of links apart from those of callers' connections, which start at a low number.
+// Links are numbered from here, so that they differ from callers' connections, which have low numbers.
 constexpr std::uint64_t first_link_connection = std::uint64_t{1} << 62;
 // Added to the request's time limit for the way back of the gate's answer.
 constexpr duration reply_reserve = std::chrono::milliseconds(100);
--- a/src/router/log.h
+++ b/src/router/log.h
@@ -6,10 +6,10 @@
 
 namespace kingcupseam::router {
 
-/// Logs one JSON object a line to standard output, from a thread of its own. When the reader is slow the
-/// oldest of log_queue_lines lines are dropped, so that writing never holds up requests; drops are counted.
+/// Logs to standard output, one JSON object per line, from a separate thread. When the reader is slow, the
+/// oldest of log_queue_lines queued lines are dropped and counted, so that logging never blocks requests.
 void configure_log(const std::string& process_name);
-/// Lines dropped since the start.
+/// Number of lines dropped since the start.
 std::size_t dropped_log_lines();
 
 inline constexpr std::size_t log_queue_lines = 8192;
--- a/src/router/process.h
+++ b/src/router/process.h
@@ -7,11 +7,11 @@
 
 namespace kingcupseam::router {
 
-/// Reads the settings anew; called at the start, at SIGHUP and now and then, since settings may change
+/// Reads the settings. Called at the start, on SIGHUP and every few seconds, since settings may change
 /// without a signal. Throws invalid_input or io_error.
 using settings_source = std::function<process_settings()>;
 
-/// Runs an entry until SIGTERM or SIGINT; then finishes what it has read.
+/// Runs an entry until SIGTERM or SIGINT, then completes the requests in flight.
 void run_entry(const settings_source& read_settings, const protocol_adapter& protocol);
 /// Runs a control instance until SIGTERM or SIGINT.
 void run_control(const settings_source& read_settings, const protocol_adapter& protocol);
--- a/src/router/request_digest.cpp
+++ b/src/router/request_digest.cpp
@@ -11,7 +11,7 @@
 class hasher {
 public:
     hasher() : state_(XXH3_createState(), XXH3_freeState) { XXH3_64bits_reset(state_.get()); }
-    /// Adds the length too, so that neighbouring texts cannot be shifted into each other.
+    /// Hashes the length first, so that moving bytes between neighbouring fields changes the hash.
     void add(const std::string& text) {
         const std::uint64_t size = text.size();
         XXH3_64bits_update(state_.get(), &size, sizeof size);
--- a/src/router/request_digest.h
+++ b/src/router/request_digest.h
@@ -5,7 +5,7 @@
 
 namespace kingcupseam::router {
 
-/// Hash of method, target, body and of all headers but @p id_header, which is new for each attempt.
+/// Hash of the method, target, body and all headers except @p id_header, which differs between attempts.
 request_digest digest_of(const caller_request& request, const std::string& id_header);
 
 } // namespace kingcupseam::router
--- a/src/router/seed_watcher.h
+++ b/src/router/seed_watcher.h
@@ -10,8 +10,8 @@
 
 namespace kingcupseam::router {
 
-/// Reports changed seeds of the settings, after SIGHUP and every few seconds. Keeps the former settings when
-/// the new ones are invalid.
+/// Reads the settings on SIGHUP and every few seconds and reports changed seeds. Invalid settings are logged
+/// and ignored.
 class seed_watcher {
 public:
     seed_watcher(asio::io_context& context, settings_source read_settings,
--- a/tests/router/gate_links_test.cpp
+++ b/tests/router/gate_links_test.cpp
@@ -89,7 +89,7 @@
     };
     const auto far = upstream("u", "south");
 
-    SUBCASE("this entry is the gate of an upstream of its data centre") {
+    SUBCASE("an upstream of the own data centre has no other gate") {
         CHECK(here.links.gate_of(upstream("u", "north")).empty());
     }
     SUBCASE("an upstream of a data centre without entries has no other gate") {
