--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("a desired state is read in full or refused") {
+TEST_CASE("a desired state is parsed completely or refused") {
     SUBCASE("routes, services and limits") {
         const auto config = parse_configuration(desired_state);
         CHECK(config.version == 7);
@@ -61,7 +61,7 @@
         CHECK_FALSE(config.services.at("s2").key_ranges);
         CHECK(config.limits.idle_timeout == std::chrono::seconds(15));
     }
-    SUBCASE("a text that was cut short") {
+    SUBCASE("a truncated document") {
         for (std::size_t n = 0; n < desired_state.size(); n += 7) {
             CHECK_THROWS_AS(parse_configuration(desired_state.substr(0, n)), error);
         }
@@ -71,24 +71,24 @@
         SUBCASE("unknown service") {
             text = replaced(desired_state, "2,\"s1\"]", "2,\"s9\"]");
         }
-        SUBCASE("weight below zero") {
+        SUBCASE("negative weight") {
             text = replaced(desired_state, "\"weight\":10", "\"weight\":-10");
         }
-        SUBCASE("no attempts") {
+        SUBCASE("zero attempts") {
             text = replaced(desired_state, "null,2,\"s1\"", "null,0,\"s1\"");
         }
-        SUBCASE("no service at all") {
+        SUBCASE("a route without a service") {
             text = replaced(desired_state, "2,\"s1\"]", "2,null]");
         }
-        // Guards against a route that can answer nothing: accepted once, it put a configuration in force that
-        // the operator had sent as invalid.
+        // Guards against a route that cannot answer any request: a configuration that was sent as invalid
+        // came into force with it.
         SUBCASE("a timeout of zero") {
             text = replaced(desired_state, "\"1200ms\"", "\"0ms\"");
         }
-        SUBCASE("two routes of one name") {
+        SUBCASE("two routes with the same name") {
             text = replaced(desired_state, "\"r2\"", "\"r1\"");
         }
-        SUBCASE("a version that is no number") {
+        SUBCASE("a version that is not a number") {
             text = replaced(desired_state, "00000007", "0000000g");
         }
         SUBCASE("a row that is too short") {
@@ -96,13 +96,13 @@
         }
         CHECK_THROWS_AS(parse_configuration(text), error);
     }
-    SUBCASE("fields that are not known here are ignored") {
+    SUBCASE("unknown fields are ignored") {
         CHECK_NOTHROW(
             parse_configuration(replaced(desired_state, "{\"version\"", "{\"later\":1,\"version\"")));
     }
 }
 
-TEST_CASE("an odd liveness report names no upstream") {
+TEST_CASE("an invalid liveness report is refused") {
     const auto read = parse_announcement("i-1", report);
     CHECK(read.upstream.incarnation == directory::upstream_incarnation{"i-1", 1700000000000});
     CHECK(read.upstream.slots == 6);
@@ -123,11 +123,11 @@
     }
 }
 
-TEST_CASE("requests are translated at the edge") {
+TEST_CASE("the provider's protocol is translated") {
     const auto protocol = make_provider_protocol();
     const directory::upstream target{{"i-7", 1}, "s", "z", {"127.0.0.1", 1}, 2, false, false};
 
-    SUBCASE("a caller's headers are passed on, but for those of the connection and of the system") {
+    SUBCASE("a caller's headers are forwarded except those of the connection and of the provider") {
         const auto request = protocol->read_request(request_of({{"Host", "h.example:80"},
                                                                 {"X-Request-Id", "abc"},
                                                                 {"X-Deadline-Ms", "2500"},
@@ -149,18 +149,18 @@
         CHECK(bytes.find("X-Hop") == std::string::npos);
     }
 
-    SUBCASE("malformed limits and keys are refused") {
+    SUBCASE("malformed deadlines and keys are refused") {
         CHECK_THROWS_AS(protocol->read_request(request_of({{"X-Deadline-Ms", "soon"}})), invalid_input);
         CHECK_THROWS_AS(protocol->read_request(request_of({{"X-Shard-Key", "65536"}})), invalid_input);
     }
 
-    SUBCASE("an answer says whether the request ran") {
+    SUBCASE("an answer tells whether the request ran") {
         const auto metadata = [&](int status, app::header_list headers) {
             return protocol->read_answer({}, {status, std::move(headers), {}, false});
         };
         CHECK(metadata(503, {{"X-Not-Executed", "1"}}).not_executed);
         CHECK(metadata(421, {}).wrong_upstream);
-        // Passing this on would promise that the request has not run.
+        // Forwarding this answer would promise that the request has not run.
         CHECK(metadata(503, {}).unproven_refusal);
         CHECK_FALSE(metadata(500, {}).unproven_refusal);
         CHECK(metadata(200, {{"X-Response-Signature", "s"}}).authentic);
@@ -186,9 +186,9 @@
 
 } // namespace
 
-// Guards against telling an operator that a valid desired state is invalid: on a day with a full disk a 400
-// ended its call, and the process went on with a log that it could not write.
-TEST_CASE("a failing disk does not make an order invalid") {
+// Guards against reporting a valid desired state as invalid: with a full disk, the operator got a 400 and the
+// process continued with a log that it could not write.
+TEST_CASE("a failing disk is not reported as an invalid request") {
     const auto protocol = make_provider_protocol();
     failing_control control;
     int status = 0;
@@ -216,7 +216,7 @@
     CHECK(status == 404);
 }
 
-TEST_CASE("times carry their unit") {
+TEST_CASE("a duration needs a unit") {
     CHECK(parse_duration("f", "1500ms") == std::chrono::milliseconds(1500));
     CHECK(parse_duration("f", "2.5s") == std::chrono::milliseconds(2500));
     for (const char* text : {"", "5", "ms", "-1s", "1m", "1e99s"}) {
--- a/tests/platform/data_center_choice_test.cpp
+++ b/tests/platform/data_center_choice_test.cpp
@@ -2,10 +2,9 @@
 
 namespace kingcupseam::platform::test {
 
-// Guards against bytes between data centres, which are dear: requests crossed although an upstream of this
-// data centre could answer them in time.
-TEST_CASE(
-    "a request without a key stays in the data centre of its entry while it can be answered in time there") {
+// Guards against needless traffic between data centres, which is expensive: requests were sent to another one
+// although a local upstream could answer in time.
+TEST_CASE("a request without a key stays in its entry's data centre while it can be answered in time there") {
     constexpr std::uint16_t remote_port = harness::first_port + 1;
     harness it([](const http_request&) { return std::nullopt; });
     fake_upstream remote(it.context, remote_port,
@@ -23,8 +22,8 @@
     state.upstreams["far"] = {{"far", 1}, "s", "e", {"127.0.0.1", remote_port}, 4, false, false};
     it.under_test.set_directory(std::make_shared<const directory::snapshot>(state));
 
-    // One slot and 100 ms of work, as is assumed before the first answer: the fourth is answered after 400
-    // ms.
+    // One slot, and a service time of 100 ms as assumed before the first answer: the fourth request would be
+    // answered after 400 ms.
     std::vector<harness::answer_slot> answers(4);
     for (std::size_t n = 0; n < 3; ++n) {
         it.start("/safe/1", milliseconds(1400), answers[n]);
--- a/tests/platform/dispatcher_harness.h
+++ b/tests/platform/dispatcher_harness.h
@@ -18,7 +18,7 @@
 
 inline constexpr duration max_test_time = std::chrono::seconds(5);
 
-/// Upstream whose answers are given by the test; an empty one leaves the request without an answer.
+/// Upstream whose answers the test provides; nullopt leaves a request unanswered.
 class fake_upstream {
 public:
     using answer_function = std::function<std::optional<http_response>(const http_request&)>;
@@ -57,7 +57,7 @@
             false};
 }
 
-/// The other entries; answers are given by the test.
+/// The other entries. Records forwarded requests; the test answers them through the callbacks.
 class fake_gates : public router::gate_network {
 public:
     std::string gate_of(const directory::upstream&) override { return gate; }
@@ -82,8 +82,8 @@
         : upstream(context, first_port, std::move(on_request)), protocol(make_provider_protocol()),
           under_test(context, *protocol, options(), registry) {}
 
-    /// @param keyed the service's upstream owns ranges of keys
-    /// @param port where the upstream listens
+    /// @param keyed whether the upstream owns the service's key range
+    /// @param port of the upstream
     void configure(bool keyed = false, std::int32_t slots = 4, std::uint16_t port = first_port,
                    std::int64_t started_ms = 1) {
         directory::snapshot state;
@@ -154,7 +154,7 @@
     router::dispatcher under_test;
     std::optional<http_response> answer;
     directory::caller_limits limits;
-    std::string body; ///< of the requests that follow
+    std::string body; ///< of the following requests
 
 private:
     static router::dispatcher_options options() {
--- a/tests/platform/dispatcher_test.cpp
+++ b/tests/platform/dispatcher_test.cpp
@@ -5,13 +5,13 @@
 TEST_CASE("a request is answered by an upstream of its route") {
     harness it([](const http_request& request) { return signed_answer(request); });
 
-    SUBCASE("before a configuration is known it is told to come back, not that there is no route") {
+    SUBCASE("before a configuration is known the answer is 503 with Retry-After, not 404") {
         const auto answer = it.send("/safe/1");
         CHECK(answer.status == 503);
         CHECK_FALSE(answer.header("Retry-After").empty());
     }
 
-    SUBCASE("with the body and the signature of the upstream") {
+    SUBCASE("with the upstream's body and signature") {
         it.configure();
         const auto answer = it.send("/safe/1");
         CHECK(answer.status == 200);
@@ -19,14 +19,14 @@
         CHECK(answer.header("X-Response-Signature") == "sig");
     }
 
-    SUBCASE("without a route there is none") {
+    SUBCASE("a request without a route gets 404 and reaches no upstream") {
         it.configure();
         CHECK(it.send("/other/1").status == 404);
         CHECK(it.upstream.requests == 0);
     }
 
-    // Guards against limits of the operators that are accepted and not kept.
-    SUBCASE("a request beyond the limits of the configuration reaches no upstream") {
+    // Guards against configured limits that are not enforced.
+    SUBCASE("a request that exceeds the configured limits reaches no upstream") {
         directory::caller_limits limits;
         limits.max_header_bytes = 200;
         limits.max_body_bytes = 10;
@@ -38,9 +38,9 @@
         CHECK(it.upstream.requests == 2);
     }
 
-    // Guards against an entry that takes requests until it ends: one that came 5 s after the stop signal was
-    // cut.
-    SUBCASE("an entry that is about to end sends it elsewhere") {
+    // Guards against an entry that accepts requests until it exits: a request that arrived 5 s after the stop
+    // signal was interrupted.
+    SUBCASE("a stopping entry closes connections and then refuses requests") {
         it.configure();
         it.under_test.start_draining();
         CHECK(it.send("/safe/1").close);
@@ -52,8 +52,8 @@
     }
 }
 
-TEST_CASE("a request whose answer is spoilt") {
-    // The first answer lacks the signature, so it is not the upstream's.
+TEST_CASE("a request whose answer is not authentic") {
+    // The first answer lacks the upstream's signature.
     int n = 0;
     harness it([&](const http_request& request) {
         auto answer = signed_answer(request);
@@ -63,19 +63,19 @@
         return answer;
     });
     it.configure();
-    SUBCASE("is sent again when it may run twice") {
+    SUBCASE("is retried when it is idempotent") {
         CHECK(it.send("/safe/1").status == 200);
         CHECK(it.upstream.requests == 2);
     }
-    SUBCASE("is not sent again when it may run once only, and nothing is promised") {
+    SUBCASE("fails without a retry and without a promise when it may run only once") {
         CHECK(it.send("/unsafe/1").status == 502);
         CHECK(it.upstream.requests == 1);
     }
 }
 
-// Guards against slots that are lost to requests which cannot end in time, and against refusals that come
-// only at the caller's limit.
-TEST_CASE("a request that waits for a slot is refused once it cannot be served in time any more") {
+// Guards against slots wasted on requests that cannot end in time, and against refusals that come only at the
+// caller's deadline.
+TEST_CASE("a queued request is refused when it cannot be served in time any more") {
     harness it([](const http_request&) { return std::nullopt; });
     fake_gates gates;
     gates.gate.clear();
@@ -92,9 +92,9 @@
     CHECK(it.upstream.requests == 1);
 }
 
-// Guards against a false promise: a request whose first send may have run was refused as not run when a slot
-// became free with less than 15 ms left.
-TEST_CASE("a request that may have run is never told that it did not") {
+// Guards against a false promise: a request whose first attempt may have run was refused as not run when a
+// slot became free with less than 15 ms left.
+TEST_CASE("a request that may have run is not answered as not run") {
     int n = 0;
     harness it([&](const http_request& request) -> std::optional<http_response> {
         if (request.target == "/safe/held") {
@@ -114,15 +114,15 @@
     std::optional<http_response> held;
     it.start("/safe/1", milliseconds(390), first);
     it.run_until([&] { return n == 2; });
-    // It has the only slot until just before the limit of the first one.
+    // This request holds the only slot until just before the deadline of the first one.
     it.start("/safe/held", milliseconds(382) - (steady_now() - begun), held);
     it.run_until([&] { return first.has_value(); });
     CHECK(n == 2);
     CHECK(first->status != 503);
 }
 
-TEST_CASE("an upstream's refusal is passed on as a promise only when the upstream gave one") {
-    SUBCASE("it says that the request did not run") {
+TEST_CASE("503 is returned only when the upstream states that the request did not run") {
+    SUBCASE("it does") {
         harness it([](const http_request&) {
             return http_response{503, {{"X-Not-Executed", "1"}}, {}, false};
         });
@@ -137,15 +137,15 @@
     }
 }
 
-TEST_CASE("an upstream that stays silent") {
+TEST_CASE("a request that its upstream does not answer") {
     harness it([](const http_request&) { return std::nullopt; });
     it.configure();
-    SUBCASE("lets the request end at the caller's limit, without a promise") {
+    SUBCASE("ends with 504 at the caller's deadline") {
         const time_point begun = steady_now();
         CHECK(it.send("/unsafe/1").status == 504);
         CHECK(steady_now() - begun >= milliseconds(900));
     }
-    SUBCASE("is told when the caller has left") {
+    SUBCASE("is cancelled at the upstream when the caller disconnects") {
         it.start("/safe/1");
         it.run_until([&] { return it.upstream.requests == 1; });
         it.under_test.on_connection_closed(7);
@@ -161,47 +161,47 @@
     it.under_test.set_gates(&gates);
     it.configure(true);
 
-    SUBCASE("is passed on with what is left of its time") {
+    SUBCASE("is forwarded with its remaining time") {
         it.start("/safe/1");
         REQUIRE(gates.forwarded.size() == 1);
         CHECK(it.upstream.requests == 0);
         CHECK(gates.forwarded.front().request.key == 5);
         CHECK(gates.forwarded.front().time_left <= milliseconds(1000));
         CHECK(gates.forwarded.front().target_time_left <= milliseconds(400));
-        SUBCASE("and has the gate's answer") {
+        SUBCASE("and gets the gate's answer") {
             gates.callbacks.front()(
                 {router::routed_end::answered, {200, {{"X-Response-Signature", "g"}}, "b", false}});
             REQUIRE(it.answer);
             CHECK(it.answer->status == 200);
             CHECK(it.answer->header("X-Response-Signature") == "g");
         }
-        SUBCASE("is sent from here when the gate does not take it") {
+        SUBCASE("is sent by this entry when the gate does not accept it") {
             gates.callbacks.front()({router::routed_end::not_taken, {}});
             it.run_until([&] { return it.answer.has_value(); });
             CHECK(it.answer->status == 200);
             CHECK(it.upstream.requests == 1);
             CHECK(gates.forwarded.size() == 1);
         }
-        SUBCASE("is sent again from here when the gate is lost, since it may run twice") {
+        SUBCASE("is retried by this entry when the gate is lost and it is idempotent") {
             gates.callbacks.front()({router::routed_end::lost, {}});
             it.run_until([&] { return it.answer.has_value(); });
             CHECK(it.answer->status == 200);
             CHECK(it.upstream.requests == 1);
         }
-        SUBCASE("is withdrawn at the gate when the caller leaves") {
+        SUBCASE("is withdrawn at the gate when the caller disconnects") {
             it.under_test.on_connection_closed(7);
             CHECK(gates.withdrawn == std::vector<std::uint64_t>{1});
             CHECK(it.under_test.requests_in_flight() == 0);
         }
-        SUBCASE("ends without a promise when the gate stays silent") {
+        SUBCASE("ends with 504 when the gate does not answer") {
             it.run_until([&] { return it.answer.has_value(); });
             CHECK(it.answer->status == 504);
             CHECK(gates.withdrawn == std::vector<std::uint64_t>{1});
         }
     }
-    // Guards against a negative time on the link: the gate closes it as malformed, and every request that
-    // waits there is lost.
-    SUBCASE("is not passed on when it has no time left") {
+    // Guards against sending a negative time to the gate: it closes the link as malformed, and all requests
+    // on that link are lost.
+    SUBCASE("is not forwarded when no time is left") {
         std::optional<http_response> late;
         it.start("/safe/1", milliseconds(0), late);
         it.run_until([&] { return late.has_value(); });
@@ -209,7 +209,7 @@
         CHECK(gates.forwarded.empty());
         CHECK(it.upstream.requests == 0);
     }
-    SUBCASE("is not sent again when the gate is lost and it may run once only, and nothing is promised") {
+    SUBCASE("fails without a retry when the gate is lost and it may run only once") {
         it.start("/unsafe/1");
         REQUIRE(gates.forwarded.size() == 1);
         gates.callbacks.front()({router::routed_end::lost, {}});
@@ -217,14 +217,14 @@
         CHECK(it.answer->status == 502);
         CHECK(it.upstream.requests == 0);
     }
-    SUBCASE("is sent from here when this entry is the gate") {
+    SUBCASE("is sent by this entry when it is the gate") {
         gates.gate.clear();
         CHECK(it.send("/safe/1").status == 200);
         CHECK(gates.forwarded.empty());
     }
 }
 
-TEST_CASE("a request that another entry passed on") {
+TEST_CASE("a request that another entry forwarded") {
     harness it([](const http_request& request) {
         return request.target == "/held" ? std::nullopt : std::optional(signed_answer(request));
     });
@@ -246,22 +246,22 @@
                                            [&](http_response answer) { it.answer = std::move(answer); });
     };
 
-    SUBCASE("is not taken before a configuration is known") {
+    SUBCASE("is not accepted before a configuration is known") {
         CHECK_FALSE(handle_routed_request());
     }
-    SUBCASE("is not taken by an entry that is about to end") {
+    SUBCASE("is not accepted by a stopping entry") {
         it.configure(true);
         it.under_test.refuse_new_requests();
         CHECK_FALSE(handle_routed_request());
     }
-    // Guards against requests that wait at the former gate of a key that has moved.
-    SUBCASE("is passed on once more when the key's upstream has another gate") {
+    // Guards against requests that stay queued at the former gate after their key has moved.
+    SUBCASE("is forwarded once more when the key's upstream has another gate") {
         it.configure(true);
         CHECK(handle_routed_request());
         REQUIRE(gates.forwarded.size() == 1);
         CHECK(gates.forwarded.front().hops == 2);
     }
-    SUBCASE("is sent to the upstream by the second gate in any case") {
+    SUBCASE("is always sent to the upstream by the second gate") {
         it.configure(true);
         request.hops = 2;
         CHECK(handle_routed_request());
@@ -275,10 +275,10 @@
         request.request.target = "/held";
         CHECK(handle_routed_request());
         it.run_until([&] { return it.upstream.requests == 1; });
-        SUBCASE("when its caller leaves") {
+        SUBCASE("when its caller disconnects") {
             it.under_test.withdraw_routed(link, 3);
         }
-        SUBCASE("when the entry that passed it on is lost") {
+        SUBCASE("when the entry that forwarded it is lost") {
             it.under_test.on_connection_closed(link);
         }
         CHECK(it.under_test.requests_in_flight() == 0);
--- a/tests/platform/process_settings_test.cpp
+++ b/tests/platform/process_settings_test.cpp
@@ -33,7 +33,7 @@
 retry_window = "10s"
 )";
 
-/// Settings file of one test.
+/// Temporary settings file.
 class settings_file {
 public:
     explicit settings_file(const std::string& text)
@@ -56,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("the settings that the provider renders are read") {
+TEST_CASE("settings rendered by the provider are read") {
     const settings_file file(rendered);
     const auto settings = load_process_settings(file.path());
     CHECK(settings.name == "core-1");
@@ -68,7 +68,7 @@
     CHECK(settings.retry_ratio == 0.2);
 }
 
-TEST_CASE("wrong settings are refused with the key") {
+TEST_CASE("invalid settings are refused with the name of the key") {
     const auto field_of = [](const std::string& text) {
         const settings_file file(text);
         try {
