--- a/src/router/control_node_reports.cpp
+++ b/src/router/control_node_reports.cpp
@@ -59,7 +59,7 @@
                      digest, refused);
     }
     for (const auto digest : report.survived) {
-        poison_detector_.on_survived(static_cast<request_digest>(digest));
+        poison_detector_.on_answered(static_cast<request_digest>(digest));
     }
     broadcast_status();
 }
--- a/src/router/poison_requests.cpp
+++ b/src/router/poison_requests.cpp
@@ -59,7 +59,7 @@
     return added && known.crashed_upstreams.size() == settings_.crash_limit;
 }
 
-void poison_request_detector::on_survived(request_digest digest) {
+void poison_request_detector::on_answered(request_digest digest) {
     const auto known = records_.find(digest);
     if (known != records_.end() && known->second.crashed_upstreams.size() < settings_.crash_limit) {
         records_.erase(known);
--- a/src/router/poison_requests.h
+++ b/src/router/poison_requests.h
@@ -61,7 +61,7 @@
     /// @returns true when the request is refused from now on
     bool on_crash(const crash_report& report, time_point now);
     /// An upstream answered the request, so it did not cause the earlier crashes.
-    void on_survived(request_digest digest);
+    void on_answered(request_digest digest);
     void expire(time_point now);
     std::vector<poison_request> list() const;
 
--- a/src/router/seed_watcher.cpp
+++ b/src/router/seed_watcher.cpp
@@ -19,7 +19,7 @@
     : read_settings_(std::move(read_settings)), on_change_(std::move(on_change)), signals_(context, SIGHUP),
       timer_(context) {
     wait_for_signal();
-    wait_for_time();
+    schedule_check();
 }
 
 void seed_watcher::wait_for_signal() {
@@ -32,12 +32,12 @@
     });
 }
 
-void seed_watcher::wait_for_time() {
+void seed_watcher::schedule_check() {
     timer_.expires_after(check_interval);
     timer_.async_wait([this](const asio::error_code& ec) {
         if (!ec) {
             check();
-            wait_for_time();
+            schedule_check();
         }
     });
 }
--- a/src/router/seed_watcher.h
+++ b/src/router/seed_watcher.h
@@ -19,7 +19,7 @@
 
 private:
     void wait_for_signal();
-    void wait_for_time();
+    void schedule_check();
     void check();
 
     settings_source read_settings_;
--- a/tests/router/poison_requests_test.cpp
+++ b/tests/router/poison_requests_test.cpp
@@ -60,13 +60,13 @@
         CHECK_FALSE(detector.on_crash({poison, {"b", 1}}, start));
         CHECK(detector.on_crash({poison, {"a", 2}}, start));
         CHECK(detector.list().front().refused);
-        detector.on_survived(poison); // an answer to an earlier attempt
+        detector.on_answered(poison); // an answer to an earlier attempt
         CHECK(detector.list().front().refused);
     }
     // Guards against refusing a frequent request that is in flight in every crash by chance.
     SUBCASE("an answer between crashes clears the request") {
         CHECK_FALSE(detector.on_crash({poison, {"b", 1}}, start));
-        detector.on_survived(poison);
+        detector.on_answered(poison);
         CHECK_FALSE(detector.on_crash({poison, {"c", 1}}, start));
         CHECK_FALSE(detector.list().front().refused);
     }
