--- a/src/router/dispatcher_answers.cpp
+++ b/src/router/dispatcher_answers.cpp
@@ -115,8 +115,8 @@
 }
 
 bool dispatcher::retry_immediately(const request_ptr& it, time_point now) {
-    const bool may_repeat = it->route.runs == execution::idempotent && it->possible_runs < it->route.attempts;
-    if (!may_repeat || !budget_of(it->service).try_retry(entries_, now)) {
+    const bool may_retry = it->route.runs == execution::idempotent && it->possible_runs < it->route.attempts;
+    if (!may_retry || !budget_of(it->service).try_retry(entries_, now)) {
         return false;
     }
     dispatch(it);
@@ -138,9 +138,9 @@
 void dispatcher::retry_or_end(const request_ptr& it, const char* reason, duration delay) {
     const time_point now = steady_now();
     const bool time_left = now + delay + settings_.min_attempt_time < it->deadline;
-    const bool repeat = it->send_count > 0;
+    const bool retry = it->send_count > 0;
     if (!time_left || now - it->arrived > it->route.target_latency ||
-        (repeat && !budget_of(it->service).try_retry(entries_, now))) {
+        (retry && !budget_of(it->service).try_retry(entries_, now))) {
         refuse_or_fail(it, status_bad_gateway, reason);
         return;
     }
--- a/src/router/dispatcher_gates.cpp
+++ b/src/router/dispatcher_gates.cpp
@@ -59,7 +59,7 @@
         return;
     }
     it->bypass_gate = true;
-    if (result.end == routed_end::not_taken) {
+    if (result.end == routed_end::not_accepted) {
         dispatch(it);
         return;
     }
--- a/src/router/gate_links.cpp
+++ b/src/router/gate_links.cpp
@@ -114,7 +114,7 @@
                 return;
             }
             const bool not_sent = !it.answer && it.failure == transport::link_failure::not_sent;
-            done({not_sent ? routed_end::not_taken : routed_end::lost, {}});
+            done({not_sent ? routed_end::not_accepted : routed_end::lost, {}});
         });
 }
 
@@ -154,7 +154,7 @@
     };
     if (!callbacks_.on_request(decode_routed_request(received.payload), connection_number(from), number,
                                reply)) {
-        from->send({frame_type::routed_reply, number, encode(routed_result{routed_end::not_taken, {}})});
+        from->send({frame_type::routed_reply, number, encode(routed_result{routed_end::not_accepted, {}})});
     }
 }
 
--- a/src/router/gate_network.h
+++ b/src/router/gate_network.h
@@ -26,13 +26,13 @@
 };
 
 enum class routed_end : std::uint8_t {
-    answered,  ///< the gate's answer is the answer to the caller
-    not_taken, ///< it has not run and may be sent by another entry
-    lost,      ///< the gate may have sent it to an upstream
+    answered,     ///< the gate's answer is the answer to the caller
+    not_accepted, ///< it has not run and may be sent by another entry
+    lost,         ///< the gate may have sent it to an upstream
 };
 
 struct routed_result {
-    routed_end end = routed_end::not_taken;
+    routed_end end = routed_end::not_accepted;
     app::http_response answer; ///< when answered
 };
 
--- a/src/router/routing_codec.cpp
+++ b/src/router/routing_codec.cpp
@@ -89,7 +89,7 @@
 routed_result decode_routed_result(const std::string& bytes) {
     auto in = transport::decode<wire::RoutedReply>(bytes);
     routed_result result;
-    result.end = in.taken ? routed_end::answered : routed_end::not_taken;
+    result.end = in.taken ? routed_end::answered : routed_end::not_accepted;
     result.answer = {in.status, from_wire(std::move(in.headers)), std::move(in.body), false};
     return result;
 }
--- a/tests/platform/dispatcher_test.cpp
+++ b/tests/platform/dispatcher_test.cpp
@@ -176,7 +176,7 @@
             CHECK(it.answer->header("X-Response-Signature") == "g");
         }
         SUBCASE("is sent by this entry when the gate does not accept it") {
-            gates.callbacks.front()({router::routed_end::not_taken, {}});
+            gates.callbacks.front()({router::routed_end::not_accepted, {}});
             it.run_until([&] { return it.answer.has_value(); });
             CHECK(it.answer->status == 200);
             CHECK(it.upstream.requests == 1);
--- a/tests/router/gate_links_test.cpp
+++ b/tests/router/gate_links_test.cpp
@@ -73,12 +73,12 @@
 
 TEST_CASE("entries forward requests to the gate of an upstream") {
     asio::io_context context;
-    node here(context, "north");
-    node there(context, "south");
-    const std::vector<entry_instance> entries{{to_string(here.address), "north"},
-                                              {to_string(there.address), "south"}};
-    here.links.set_entries(entries);
-    there.links.set_entries(entries);
+    node local(context, "north");
+    node remote(context, "south");
+    const std::vector<entry_instance> entries{{to_string(local.address), "north"},
+                                              {to_string(remote.address), "south"}};
+    local.links.set_entries(entries);
+    remote.links.set_entries(entries);
     const auto run_until = [&](const std::function<bool()>& condition) {
         const time_point end = steady_now() + max_test_time;
         while (!condition() && steady_now() < end) {
@@ -87,24 +87,24 @@
         }
         return condition();
     };
-    const auto far = upstream("u", "south");
+    const auto remote_upstream = upstream("u", "south");
 
     SUBCASE("an upstream of the own data centre has no other gate") {
-        CHECK(here.links.gate_of(upstream("u", "north")).empty());
+        CHECK(local.links.gate_of(upstream("u", "north")).empty());
     }
     SUBCASE("an upstream of a data centre without entries has no other gate") {
-        CHECK(here.links.gate_of(upstream("u", "west")).empty());
+        CHECK(local.links.gate_of(upstream("u", "west")).empty());
     }
     SUBCASE("the first request for another data centre starts the link and does not wait for it") {
-        CHECK(here.links.gate_of(far).empty());
-        REQUIRE(run_until([&] { return !here.links.gate_of(far).empty(); }));
-        CHECK(here.links.gate_of(far) == to_string(there.address));
+        CHECK(local.links.gate_of(remote_upstream).empty());
+        REQUIRE(run_until([&] { return !local.links.gate_of(remote_upstream).empty(); }));
+        CHECK(local.links.gate_of(remote_upstream) == to_string(remote.address));
 
         std::optional<routed_result> result;
-        const auto number = here.links.forward(to_string(there.address), make_request(),
-                                               [&](routed_result it) { result = std::move(it); });
-        REQUIRE(run_until([&] { return !there.requests.empty(); }));
-        const auto& got = there.requests.front();
+        const auto number = local.links.forward(to_string(remote.address), make_request(),
+                                                [&](routed_result it) { result = std::move(it); });
+        REQUIRE(run_until([&] { return !remote.requests.empty(); }));
+        const auto& got = remote.requests.front();
 
         SUBCASE("the gate receives all fields of the request") {
             const routed_request sent = make_request();
@@ -132,58 +132,58 @@
             CHECK(result->answer.body == std::string("x\0y", 3));
         }
         SUBCASE("a withdrawal reaches the gate, and its answer is dropped") {
-            here.links.withdraw(to_string(there.address), number);
-            REQUIRE(run_until([&] { return !there.withdrawn.empty(); }));
-            CHECK(there.withdrawn.front() == got.number);
+            local.links.withdraw(to_string(remote.address), number);
+            REQUIRE(run_until([&] { return !remote.withdrawn.empty(); }));
+            CHECK(remote.withdrawn.front() == got.number);
             got.reply({200, {}, {}, false});
             context.run_for(milliseconds(50));
             CHECK_FALSE(result);
         }
         SUBCASE("a gate that does not accept requests reports it") {
-            there.accepts = false;
+            remote.accepts = false;
             std::optional<routed_result> second;
-            here.links.forward(to_string(there.address), make_request(),
-                               [&](routed_result it) { second = std::move(it); });
+            local.links.forward(to_string(remote.address), make_request(),
+                                [&](routed_result it) { second = std::move(it); });
             REQUIRE(run_until([&] { return second.has_value(); }));
-            CHECK(second->end == routed_end::not_taken);
+            CHECK(second->end == routed_end::not_accepted);
         }
     }
     // Guards against a gate that continues with requests of a dead entry.
     SUBCASE("the gate detects the loss of the entry") {
         std::optional<node> third(std::in_place, context, "north");
         third->links.set_entries(entries);
-        REQUIRE(run_until([&] { return !third->links.gate_of(far).empty(); }));
-        third->links.forward(to_string(there.address), make_request(), [](const routed_result&) {});
-        REQUIRE(run_until([&] { return there.requests.size() == 1; }));
+        REQUIRE(run_until([&] { return !third->links.gate_of(remote_upstream).empty(); }));
+        third->links.forward(to_string(remote.address), make_request(), [](const routed_result&) {});
+        REQUIRE(run_until([&] { return remote.requests.size() == 1; }));
         third.reset();
-        REQUIRE(run_until([&] { return !there.disconnected.empty(); }));
-        CHECK(there.disconnected.front() == there.requests.front().connection);
+        REQUIRE(run_until([&] { return !remote.disconnected.empty(); }));
+        CHECK(remote.disconnected.front() == remote.requests.front().connection);
     }
     // Guards against requests that never end when their gate dies.
     SUBCASE("requests of a lost gate end as lost, and the next entry becomes the gate") {
         std::optional<node> other(std::in_place, context, "south");
         auto more = entries;
         more.push_back({to_string(other->address), "south"});
-        here.links.set_entries(more);
+        local.links.set_entries(more);
         // The hash decides which entry is the gate; at least one of these upstreams has the second one.
         std::optional<directory::upstream> gated;
         REQUIRE(run_until([&] {
             for (int i = 0; i < 20 && !gated; ++i) {
                 const auto it = upstream("u" + std::to_string(i), "south");
-                if (here.links.gate_of(it) == to_string(other->address)) {
+                if (local.links.gate_of(it) == to_string(other->address)) {
                     gated = it;
                 }
             }
             return gated.has_value();
         }));
         std::optional<routed_result> result;
-        here.links.forward(to_string(other->address), make_request(),
-                           [&](routed_result it) { result = std::move(it); });
+        local.links.forward(to_string(other->address), make_request(),
+                            [&](routed_result it) { result = std::move(it); });
         REQUIRE(run_until([&] { return !other->requests.empty(); }));
         other.reset();
         REQUIRE(run_until([&] { return result.has_value(); }));
         CHECK(result->end == routed_end::lost);
-        CHECK(run_until([&] { return here.links.gate_of(*gated) == to_string(there.address); }));
+        CHECK(run_until([&] { return local.links.gate_of(*gated) == to_string(remote.address); }));
     }
 }
 
