--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -27,8 +27,8 @@
 constexpr duration join_interval = std::chrono::seconds(1);
 constexpr duration decay_interval = std::chrono::milliseconds(500);
 constexpr double decay_factor = 0.8; ///< demand halves in 1.6 s, about a third of the duration of a hot key
-constexpr duration max_upstream_silence =
-    std::chrono::seconds(40); ///< longer than outages of zones and machines
+// Longer than outages of zones and machines.
+constexpr duration max_upstream_silence = std::chrono::seconds(40);
 
 } // namespace
 
@@ -70,8 +70,8 @@
     options.self = self_;
     options.heartbeat_interval = heartbeat_interval;
     options.election_timeout = election_timeout;
-    options.elect_after_restart =
-        true; // the lease manager waits for a former leader's orders, see on_leadership_change()
+    // Safe because the lease manager waits for a former leader's orders, see on_leadership_change().
+    options.elect_after_restart = true;
     options.seed = opened.store->identity();
     group_ =
         std::make_unique<app::replicated_group>(options, std::move(opened.store), machine_,
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -30,8 +30,8 @@
     /// A new owner may not have received its grant yet: for this time after a directory update, a key that
     /// the owner refuses is retried there. Later, a refusal means that the key is moving to another owner.
     duration grant_delay = std::chrono::milliseconds(100);
-    duration shed_backoff =
-        std::chrono::milliseconds(40); ///< delay before the retry of a request that was shed
+    /// Delay before the retry of a request that was shed.
+    duration shed_backoff = std::chrono::milliseconds(40);
     /// Retry-After value for refused callers; about as long as a handover or a few requests take.
     duration retry_after = std::chrono::milliseconds(250);
     /// An upstream of another data centre is selected only when the local ones would answer late and cost
@@ -170,8 +170,8 @@
     std::map<std::string, asio::steady_timer> send_timers_;
     std::vector<request_ptr> waiting_for_owner_;
     std::map<std::string, retry_budget> retry_budgets_;
-    std::map<std::string, std::map<std::string, double>>
-        split_credits_; ///< of smooth weighted round robin, by route and service
+    /// Credits of smooth weighted round robin, by route and service.
+    std::map<std::string, std::map<std::string, double>> split_credits_;
     traffic_report report_;
     interrupted_requests interrupted_;
     known_poison_requests poison_requests_;
--- a/src/router/poison_requests.h
+++ b/src/router/poison_requests.h
@@ -21,7 +21,7 @@
     bool operator==(const crash_report&) const = default;
 };
 
-/// A request that was in flight in crashes of upstreams. It is refused once there are too many of them.
+/// A request that was in flight when upstreams crashed; it is refused after too many crashes.
 struct poison_request {
     request_digest digest = 0;
     bool refused = false; ///< not sent any more; until then entries report when it is answered
--- a/src/router/protocol_adapter.h
+++ b/src/router/protocol_adapter.h
@@ -37,8 +37,8 @@
 /// Properties of an upstream's answer.
 struct answer_metadata {
     bool not_executed = false; ///< the upstream states that the request did not run
-    bool unproven_refusal =
-        false; ///< the status implies that the request did not run, but the upstream does not state it
+    /// The status implies that the request did not run, but the upstream does not state it.
+    bool unproven_refusal = false;
     bool wrong_upstream = false; ///< sent to the wrong upstream, or to one that does not own the key
     bool authentic = false;      ///< carries the upstream's signature and an unmodified body
     std::optional<reported_load> load;
