--- a/src/router/answer_parser.cpp
+++ b/src/router/answer_parser.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-answer_parser& self(http_parser* parser) {
+answer_parser& parser_of(http_parser* parser) {
     return *static_cast<answer_parser*>(parser->data);
 }
 
@@ -47,12 +47,12 @@
 }
 
 int answer_parser::on_begin(http_parser* parser) {
-    self(parser).started_ = true;
+    parser_of(parser).started_ = true;
     return 0;
 }
 
 int answer_parser::on_field(http_parser* parser, const char* at, std::size_t n) {
-    auto& it = self(parser);
+    auto& it = parser_of(parser);
     if (it.in_value_ || it.answer_.headers.empty()) {
         it.answer_.headers.emplace_back();
         it.in_value_ = false;
@@ -62,21 +62,21 @@
 }
 
 int answer_parser::on_value(http_parser* parser, const char* at, std::size_t n) {
-    auto& it = self(parser);
+    auto& it = parser_of(parser);
     it.in_value_ = true;
     it.answer_.headers.back().second.append(at, n);
     return 0;
 }
 
 int answer_parser::on_head(http_parser* parser) {
-    auto& it = self(parser);
+    auto& it = parser_of(parser);
     it.answer_.status = static_cast<int>(parser->status_code);
     it.keep_alive_ = http_should_keep_alive(parser) != 0;
     return 0;
 }
 
 int answer_parser::on_body(http_parser* parser, const char* at, std::size_t n) {
-    auto& it = self(parser);
+    auto& it = parser_of(parser);
     if (it.answer_.body.size() + n > it.max_body_bytes_) {
         return 1;
     }
@@ -85,7 +85,7 @@
 }
 
 int answer_parser::on_complete(http_parser* parser) {
-    self(parser).complete_ = true;
+    parser_of(parser).complete_ = true;
     // Stops before bytes that follow the answer, so that the caller sees them.
     http_parser_pause(parser, 1);
     return 0;
--- a/src/router/control_links.cpp
+++ b/src/router/control_links.cpp
@@ -116,7 +116,7 @@
 void control_links::subscribe(const std::string& name) {
     source_ = name;
     wire::DirectorySubscribe request;
-    request.known_index = static_cast<std::int64_t>(held_->index);
+    request.known_index = static_cast<std::int64_t>(directory_->index);
     link(name).notify({frame_type::directory_subscribe, 0, encode(request)});
 }
 
@@ -125,19 +125,21 @@
         return; // from a former subscription
     }
     try {
-        auto next = std::make_shared<const directory::snapshot>(directory::apply_difference(*held_, payload));
-        if (next->index < held_->index) {
+        auto next =
+            std::make_shared<const directory::snapshot>(directory::apply_difference(*directory_, payload));
+        if (next->index < directory_->index) {
             // The control instance lags behind.
             throw invalid_input("directory", "index", "is lower than that of the current directory");
         }
-        if (!held_->config || next->config->version != held_->config->version) {
+        if (!directory_->config || next->config->version != directory_->config->version) {
             spdlog::info("configuration in force version={} index={}",
                          next->config ? next->config->version : 0, next->index);
         }
-        held_ = std::move(next);
-        callbacks_.on_directory(held_);
+        directory_ = std::move(next);
+        callbacks_.on_directory(directory_);
     } catch (const invalid_input& e) {
-        spdlog::warn("directory update refused from={} held={} problem=\"{}\"", name, held_->index, e.what());
+        spdlog::warn("directory update refused from={} held={} problem=\"{}\"", name, directory_->index,
+                     e.what());
         source_.clear();
         retry_timer_.expires_after(retry_interval);
         retry_timer_.async_wait([this](const asio::error_code& ec) {
--- a/src/router/control_links.h
+++ b/src/router/control_links.h
@@ -58,7 +58,7 @@
     process_settings settings_;
     observer callbacks_;
     transport::peer_identity self_;
-    directory::snapshot_ptr held_ = std::make_shared<const directory::snapshot>();
+    directory::snapshot_ptr directory_ = std::make_shared<const directory::snapshot>();
     std::map<std::string, remote> remotes_;
     std::map<std::string, std::unique_ptr<transport::peer_link>> links_;
     bool leaving_ = false;
--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -34,7 +34,8 @@
 
 control_node::control_node(asio::io_context& context, process_settings settings, order_sender send_order)
     : context_(context), settings_(std::move(settings)), send_order_(std::move(send_order)),
-      machine_([this] { publisher_.publish(machine_.state()); }), publisher_(context), tick_timer_(context) {
+      state_machine_([this] { publisher_.publish(state_machine_.state()); }), publisher_(context),
+      tick_timer_(context) {
     open_group();
     const transport::peer_identity identity{self_, settings_.data_center};
     const auto handler = [this](const std::shared_ptr<transport::connection>& from,
@@ -74,10 +75,10 @@
     options.elect_after_restart = true;
     options.seed = opened.store->identity();
     group_ =
-        std::make_unique<app::replicated_group>(options, std::move(opened.store), machine_,
+        std::make_unique<app::replicated_group>(options, std::move(opened.store), state_machine_,
                                                 [this](const consensus::message& it) { send_message(it); });
     spdlog::info("control group opened member={} incarnation={} voters={} index={}", self_.name,
-                 self_.incarnation, group_->node().members().voters.size(), machine_.state()->index);
+                 self_.incarnation, group_->node().members().voters.size(), state_machine_.state()->index);
 }
 
 void control_node::set_seeds(const std::vector<std::string>& ips) {
@@ -199,12 +200,12 @@
         last_announcements_.clear();
         demand_.clear();
         poison_detector_ = poison_request_detector();
-        for (const auto& [id, it] : machine_.state()->upstreams) {
+        for (const auto& [id, it] : state_machine_.state()->upstreams) {
             conditions_[id].last_announced = now;
         }
     }
     spdlog::info("control leadership leads={} resumes={} term={} index={}", leading, resumes, term,
-                 machine_.state()->index);
+                 state_machine_.state()->index);
     broadcast_status();
 }
 
@@ -225,7 +226,7 @@
 }
 
 void control_node::run_lease_manager(time_point now) {
-    auto effects = lease_manager_->tick({*machine_.state(), conditions_, demand_}, now);
+    auto effects = lease_manager_->tick({*state_machine_.state(), conditions_, demand_}, now);
     const std::uint64_t generation = lease_manager_generation_;
     if (!effects.command.empty()) {
         for (const auto& it : effects.command.assignments) {
@@ -267,7 +268,7 @@
 
 void control_node::remove_silent_upstreams(time_point now) {
     directory::command change;
-    for (const auto& [id, it] : machine_.state()->upstreams) {
+    for (const auto& [id, it] : state_machine_.state()->upstreams) {
         const auto known = conditions_.find(id);
         if (known != conditions_.end() && now - known->second.last_announced > max_upstream_silence) {
             change.removed_upstreams.push_back(id);
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -70,14 +70,15 @@
     std::string status_payload();
     void propose(const directory::command& change, on_accepted done);
     /// Forwards an order to the leader; @p done gets its answer, or nullopt when there is none.
-    void forward(int kind, std::string payload, std::function<void(std::optional<std::string>)> done);
+    void forward_to_leader(int kind, std::string payload,
+                           std::function<void(std::optional<std::string>)> done);
     bool is_stale(const announcement& report);
     std::string peer_name(const std::string& ip) const;
 
     asio::io_context& context_;
     process_settings settings_;
     order_sender send_order_;
-    directory_state_machine machine_;
+    directory_state_machine state_machine_;
     directory_publisher publisher_;
     asio::steady_timer tick_timer_;
     consensus::member_id self_;
--- a/src/router/control_node_orders.cpp
+++ b/src/router/control_node_orders.cpp
@@ -21,7 +21,7 @@
 } // namespace
 
 bool control_node::is_stale(const announcement& report) {
-    const auto& state = *machine_.state();
+    const auto& state = *state_machine_.state();
     const auto& reported = report.upstream.incarnation;
     const auto known = state.upstreams.find(reported.id);
     if (known != state.upstreams.end() && known->second.incarnation.started_ms > reported.started_ms) {
@@ -42,7 +42,7 @@
 
 void control_node::announce(announcement report, on_accepted done) {
     if (!group_->leads()) {
-        forward(
+        forward_to_leader(
             order_announce, write_announcement(report),
             [done = std::move(done)](const std::optional<std::string>& answer) { done(answer.has_value()); });
         return;
@@ -51,7 +51,7 @@
         done(true);
         return;
     }
-    const auto& state = *machine_.state();
+    const auto& state = *state_machine_.state();
     const auto known = state.upstreams.find(report.upstream.incarnation.id);
     conditions_[report.upstream.incarnation.id].last_announced = steady_now();
     directory::command change;
@@ -77,12 +77,12 @@
 
 void control_node::depart(std::string upstream_id, on_accepted done) {
     if (!group_->leads()) {
-        forward(
+        forward_to_leader(
             order_depart, std::move(upstream_id),
             [done = std::move(done)](const std::optional<std::string>& answer) { done(answer.has_value()); });
         return;
     }
-    const auto& state = *machine_.state();
+    const auto& state = *state_machine_.state();
     const auto known = state.upstreams.find(upstream_id);
     if (known == state.upstreams.end() || known->second.left) {
         done(true);
@@ -99,12 +99,12 @@
     directory::command change;
     change.config = std::move(wanted);
     if (!group_->leads()) {
-        forward(
+        forward_to_leader(
             order_configure, directory::encode(change),
             [done = std::move(done)](const std::optional<std::string>& answer) { done(answer.has_value()); });
         return;
     }
-    const auto& held = machine_.state()->config;
+    const auto& held = state_machine_.state()->config;
     if (held && held->version >= change.config->version) {
         done(true);
         return;
@@ -116,15 +116,15 @@
 
 void control_node::read_configuration(on_document done) {
     if (!group_->leads()) {
-        forward(order_read, {}, std::move(done));
+        forward_to_leader(order_read, {}, std::move(done));
         return;
     }
-    const auto& held = machine_.state()->config;
+    const auto& held = state_machine_.state()->config;
     done(held ? std::optional(held->document) : std::nullopt);
 }
 
-void control_node::forward(int kind, std::string payload,
-                           std::function<void(std::optional<std::string>)> done) {
+void control_node::forward_to_leader(int kind, std::string payload,
+                                     std::function<void(std::optional<std::string>)> done) {
     const auto leader = group_->node().leader();
     if (!leader || leader->name == self_.name || !mesh_->up(leader->name)) {
         done(std::nullopt);
--- a/src/router/control_node_reports.cpp
+++ b/src/router/control_node_reports.cpp
@@ -66,7 +66,7 @@
 
 void control_node::update_speeds() {
     std::map<std::string, std::vector<double>> times; // by service
-    for (const auto& [id, it] : machine_.state()->upstreams) {
+    for (const auto& [id, it] : state_machine_.state()->upstreams) {
         if (const auto known = service_times_.find(id); known != service_times_.end()) {
             times[it.service].push_back(known->second);
         }
@@ -74,7 +74,7 @@
     for (auto& [service, it] : times) {
         std::nth_element(it.begin(), it.begin() + static_cast<std::ptrdiff_t>(it.size() / 2), it.end());
     }
-    for (const auto& [id, it] : machine_.state()->upstreams) {
+    for (const auto& [id, it] : state_machine_.state()->upstreams) {
         const auto known = service_times_.find(id);
         const auto condition = conditions_.find(id);
         if (known != service_times_.end() && condition != conditions_.end()) {
--- a/src/router/control_process.cpp
+++ b/src/router/control_process.cpp
@@ -37,7 +37,7 @@
     return "invalid";
 }
 
-key_ranges::call_result result_of(const exchange_result& it) {
+key_ranges::call_result to_call_result(const exchange_result& it) {
     switch (it.end) {
     case exchange_end::answered:
         return it.answer.status == status_ok ? key_ranges::call_result::done
@@ -105,7 +105,7 @@
         request.timeout = order.kind == key_ranges::call_kind::grant ? grant_timeout : release_timeout;
         request.new_connection = order.new_connection;
         client_.send(std::move(request), [this, order, done = std::move(done)](const exchange_result& it) {
-            const auto result = result_of(it);
+            const auto result = to_call_result(it);
             registry_
                 .counter_of("orders_total", "orders to upstreams by kind and result",
                             {{"kind", order.kind == key_ranges::call_kind::grant ? "grant" : "release"},
--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -184,13 +184,13 @@
 
 void dispatcher::schedule_send_queued(upstream_queue& queue) {
     const time_point now = steady_now();
-    const time_point opens = queue.can_send_at(now);
-    if (queue.waiting() == 0 || opens <= now) {
+    const time_point send_time = queue.can_send_at(now);
+    if (queue.waiting() == 0 || send_time <= now) {
         return;
     }
     const std::string& id = queue.target().incarnation.id;
     auto& timer = send_timers_.try_emplace(id, context_).first->second;
-    timer.expires_after(opens - now);
+    timer.expires_after(send_time - now);
     timer.async_wait([this, id](const asio::error_code& ec) {
         const auto found = queues_.find(id);
         if (!ec && found != queues_.end()) {
@@ -209,8 +209,8 @@
         const request_ptr it = found->second;
         it->queued = false;
         it->wait_timer.cancel();
-        upstream_queue* now_chosen = select_upstream(it);
-        if (now_chosen == &queue) {
+        upstream_queue* selected = select_upstream(it);
+        if (selected == &queue) {
             send(it, queue);
         } else {
             dispatch(it);
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -135,7 +135,7 @@
     void cancel_attempt(const request_ptr& it);
     /// Counts the elapsed time of an unanswered attempt as service time; otherwise an upstream that is too
     /// slow to answer in time would keep its former average.
-    void record_overdue(const request_ptr& it, upstream_queue& at);
+    void record_overdue(const request_ptr& it, upstream_queue& queue);
     void on_timeout(const request_ptr& it);
     /// Refuses a request that certainly has not run; one that may have run fails with @p status_in_doubt.
     void refuse_or_fail(const request_ptr& it, int status_in_doubt, const char* reason);
--- a/src/router/dispatcher_answers.cpp
+++ b/src/router/dispatcher_answers.cpp
@@ -161,14 +161,14 @@
     }
 }
 
-void dispatcher::record_overdue(const request_ptr& it, upstream_queue& at) {
+void dispatcher::record_overdue(const request_ptr& it, upstream_queue& queue) {
     const duration elapsed = steady_now() - it->sent_at;
-    if (elapsed > at.service_time()) {
+    if (elapsed > queue.service_time()) {
         auto& measured = report_.upstreams[it->upstream];
         ++measured.answers;
         measured.total += elapsed;
     }
-    at.on_overdue(elapsed);
+    queue.on_overdue(elapsed);
 }
 
 void dispatcher::on_timeout(const request_ptr& it) {
--- a/src/router/seed_watcher.cpp
+++ b/src/router/seed_watcher.cpp
@@ -45,9 +45,9 @@
 void seed_watcher::check() {
     try {
         auto ips = read_settings_().seeds;
-        if (ips != known_) {
-            known_ = std::move(ips);
-            on_change_(known_);
+        if (ips != seeds_) {
+            seeds_ = std::move(ips);
+            on_change_(seeds_);
         }
     } catch (const error& e) {
         spdlog::warn("settings not reloaded, the former ones stay in force: {}", e.what());
--- a/src/router/seed_watcher.h
+++ b/src/router/seed_watcher.h
@@ -26,7 +26,7 @@
     std::function<void(const std::vector<std::string>&)> on_change_;
     asio::signal_set signals_;
     asio::steady_timer timer_;
-    std::vector<std::string> known_;
+    std::vector<std::string> seeds_;
 };
 
 } // namespace kingcupseam::router
