--- a/tests/transport/frame_test.cpp
+++ b/tests/transport/frame_test.cpp
@@ -25,7 +25,7 @@
             CHECK(received == std::vector<frame>{first, second});
         }
     }
-    SUBCASE("a frame that is too large, too small or of unknown type is an error") {
+    SUBCASE("a frame that is too large, too small or of unknown type is an error and allocates nothing") {
         for (const std::string& bytes :
              {std::string("\xff\xff\xff\xff", 4), std::string("\x00\x00\x00\x09", 4),
               std::string("\x00\x00\x00\x0a\x00\x00\0\0\0\0\0\0\0\0", 14),
@@ -56,7 +56,7 @@
             CHECK_THROWS_AS(decode<wire::ForwardRequest>(bytes.substr(0, n)), malformed_frame);
         }
     }
-    SUBCASE("a list length that exceeds the payload throws malformed_frame") {
+    SUBCASE("a list length that exceeds the payload throws malformed_frame and allocates nothing") {
         // Field 9 (list of structs) with a claimed size of 2^31 - 1 elements.
         const std::string bytes("\x99\xfc\xff\xff\xff\xff\x07", 7);
         CHECK_THROWS_AS(decode<wire::ForwardRequest>(bytes), malformed_frame);
--- a/tests/transport/link_test.cpp
+++ b/tests/transport/link_test.cpp
@@ -89,7 +89,7 @@
             CHECK(to_peer.up());
         }
     }
-    SUBCASE("a request on a link that is down fails as not_sent") {
+    SUBCASE("a request on a link that is down fails as not_sent, so that it may be sent elsewhere") {
         peer_link to_nobody(context, listen_address, identity("a"), {}, nullptr);
         std::optional<reply> result;
         to_nobody.request({frame_type::forward_request, 0, "x"}, 1s,
--- a/tests/wire/wire_test.cpp
+++ b/tests/wire/wire_test.cpp
@@ -24,7 +24,7 @@
     CHECK(wire::from_bytes<wire::ProfileChange>(bytes) == change());
     CHECK(wire::parse_exact<wire::ProfileChange>("value", bytes) == change());
 
-    SUBCASE("bytes truncated at any position are an error") {
+    SUBCASE("bytes truncated at any position are an error, without a read past the end") {
         for (std::size_t n = 0; n < bytes.size(); ++n) {
             const auto cut = std::string_view(bytes).substr(0, n);
             CHECK_THROWS_AS(wire::from_bytes<wire::ProfileChange>(cut), wire::malformed_payload);
@@ -34,7 +34,7 @@
 }
 
 TEST_CASE("damaged bytes are refused") {
-    SUBCASE("a list length that exceeds the bytes") {
+    SUBCASE("a list length that would allocate far more than the bytes contain") {
         // Field 1, a list of structs whose count is 134,217,727.
         const std::string bytes("\x19\xfc\xff\xff\xff\x3f\x00", 7);
         CHECK_THROWS_AS(wire::from_bytes<wire::GroupMembership>(bytes), wire::malformed_payload);
@@ -43,11 +43,11 @@
         const std::string bytes("\x18\xff\xff\xff\x3f\x00", 6);
         CHECK_THROWS_AS(wire::from_bytes<wire::ProfileChange>(bytes), wire::malformed_payload);
     }
-    SUBCASE("parse_exact refuses bytes after the end") {
+    SUBCASE("bytes after the end, which show that writer and reader disagree") {
         const auto bytes = wire::to_bytes(change()) + "x";
         CHECK_THROWS_AS(wire::parse_exact<wire::ProfileChange>("value", bytes), invalid_input);
     }
-    SUBCASE("parse_exact refuses an unknown field, as of a later release") {
+    SUBCASE("a field of a later release, which this one would drop from a replicated value") {
         const auto bytes = wire::to_bytes(change());
         const auto more = bytes.substr(0, bytes.size() - 1) + std::string("\x18\x01x\x00", 4);
         CHECK(wire::from_bytes<wire::ProfileChange>(more) == change());
