--- a/src/app/instance/gate.cpp
+++ b/src/app/instance/gate.cpp
@@ -93,7 +93,7 @@
 
 void gate::on_view_changed() {
     const auto view = views_.load();
-    dial_ledger_replicas(*view);
+    connect_ledger_replicas(*view);
     ledger_.update_retention(*view, steady_now());
     ledger_.on_view_changed(*view);
     const auto* rows = view->local_table();
@@ -140,7 +140,7 @@
     }
 }
 
-void gate::dial_ledger_replicas(const routing_view& view) {
+void gate::connect_ledger_replicas(const routing_view& view) {
     // Without open links, the first request of a shard would not reach a majority of its ledger replicas.
     for (const auto& [name, it] : view.instances) {
         if (name != settings_.name && it.data_center == settings_.data_center) {
--- a/src/app/instance/gate.h
+++ b/src/app/instance/gate.h
@@ -38,7 +38,7 @@
     /// Updates the rows of upstreams to which this instance dispatches without being their gate (direct
     /// routing).
     void refresh_direct_gates(const routing_view& view);
-    void dial_ledger_replicas(const routing_view& view);
+    void connect_ledger_replicas(const routing_view& view);
     /// Sends the changed entries to all instances of this data centre.
     void broadcast_poison_requests(const std::vector<admission::poison_request_list::record>& changed);
     upstream_gate* find(const std::string& upstream);
