--- a/tests/process/control_disk_test.cpp
+++ b/tests/process/control_disk_test.cpp
@@ -24,7 +24,7 @@
     return false;
 }
 
-bool accept(process_cluster& cluster, const std::string& through, std::uint64_t base) {
+bool accept_change(process_cluster& cluster, const std::string& through, std::uint64_t base) {
     const auto id = "change-" + std::to_string(base);
     return process_cluster::wait_until(
         [&] {
@@ -47,7 +47,7 @@
     process_cluster cluster(options);
     cluster.start();
     cluster.at("b1").process->kill();
-    REQUIRE(accept(cluster, "a1", 1));
+    REQUIRE(accept_change(cluster, "a1", 1));
     cluster.restart(cluster.at("b1"), true);
     const auto since = steady_now();
     CHECK(process_cluster::wait_until(
@@ -61,12 +61,12 @@
     MESSAGE("repaired after ms: ", (steady_now() - since) / 1ms);
     SUBCASE("the second loss is a voter that held the change from the start") {
         cluster.at("a1").process->kill();
-        CHECK(accept(cluster, "b1", 2));
+        CHECK(accept_change(cluster, "b1", 2));
         CHECK(cluster.profile_version(cluster.at("c1"), "navalsig") >= 2);
     }
     SUBCASE("the returned voter is lost again, with its disk") {
         cluster.at("b1").process->kill();
-        CHECK(accept(cluster, "c1", 2));
+        CHECK(accept_change(cluster, "c1", 2));
     }
 }
 
@@ -84,5 +84,5 @@
     REQUIRE(process_cluster::wait_until([&] { return voters_restored(cluster, {"a1", "a2", "b1"}); }, 8s));
     MESSAGE("replaced after ms: ", (steady_now() - since) / 1ms);
     cluster.at("b1").process->kill();
-    CHECK(accept(cluster, "a2", 1));
+    CHECK(accept_change(cluster, "a2", 1));
 }
--- a/tests/process/control_loss_test.cpp
+++ b/tests/process/control_loss_test.cpp
@@ -10,7 +10,7 @@
 
 using instance = process_cluster::instance;
 
-cluster_options one_data_center() {
+cluster_options single_data_center_options() {
     cluster_options options;
     options.data_centers = {5};
     options.upstreams = 4;
@@ -19,7 +19,7 @@
 
 constexpr int key_count = 24;
 
-std::string key(int n) {
+std::string test_key(int n) {
     return "key-" + std::to_string(n);
 }
 
@@ -30,9 +30,10 @@
     for (int n = 0; n < key_count; ++n) {
         // Keys are asked in turn, so a late one delays the others by at most its own time.
         const bool ran = process_cluster::wait_until(
-            [&] { return cluster.lookup(entry, key(n), 100ms).ran(); }, since + limit - steady_now());
-        const auto last = ran ? answer{} : cluster.lookup(entry, key(n), 500ms);
-        CHECK_MESSAGE(ran, "not served again: " << key(n) << " status " << last.status << " " << last.body);
+            [&] { return cluster.lookup(entry, test_key(n), 100ms).ran(); }, since + limit - steady_now());
+        const auto last = ran ? answer{} : cluster.lookup(entry, test_key(n), 500ms);
+        CHECK_MESSAGE(ran,
+                      "not served again: " << test_key(n) << " status " << last.status << " " << last.body);
         longest = std::max(longest, steady_now() - since);
     }
     return longest;
@@ -44,7 +45,7 @@
                : 0;
 }
 
-std::string leader_of(process_cluster& cluster) {
+std::string wait_for_leader(process_cluster& cluster) {
     std::string found;
     process_cluster::wait_until(
         [&] {
@@ -83,7 +84,7 @@
         .get<std::vector<std::string>>();
 }
 
-std::string first_not_in(process_cluster& cluster, const std::vector<std::string>& names) {
+std::string instance_not_in(process_cluster& cluster, const std::vector<std::string>& names) {
     for (const auto& it : cluster.instances()) {
         if (std::find(names.begin(), names.end(), it.name) == names.end()) {
             return it.name;
@@ -93,7 +94,7 @@
     return {};
 }
 
-std::uint64_t runs_recorded(const process_cluster& cluster, const process_cluster::upstream& it) {
+std::uint64_t count_recorded_runs(const process_cluster& cluster, const process_cluster::upstream& it) {
     std::ifstream in(cluster.record_of(it));
     std::uint64_t lines = 0;
     for (std::string line; std::getline(in, line);) {
@@ -107,9 +108,10 @@
 namespace {
 
 void check_loss(process_cluster& cluster, const std::vector<std::string>& lost, const std::string& upstream) {
-    const auto& entry = cluster.at(first_not_in(cluster, lost));
+    const auto& entry = cluster.at(instance_not_in(cluster, lost));
     for (int n = 0; n < key_count; ++n) {
-        REQUIRE(process_cluster::wait_until([&] { return cluster.lookup(entry, key(n), 500ms).ran(); }, 2s));
+        REQUIRE(
+            process_cluster::wait_until([&] { return cluster.lookup(entry, test_key(n), 500ms).ran(); }, 2s));
     }
     const auto since = steady_now();
     for (const auto& it : lost) {
@@ -125,7 +127,8 @@
     // At-most-once work needs the gate itself, not only a standby.
     const bool booked = process_cluster::wait_until(
         [&] {
-            return cluster.book(entry, key(1), "id-" + std::to_string(steady_now().time_since_epoch() / 1us))
+            return cluster
+                .book(entry, test_key(1), "id-" + std::to_string(steady_now().time_since_epoch() / 1us))
                 .ran();
         },
         2s);
@@ -138,9 +141,9 @@
 
 // Guards against keys that stay without a gate or an owner for longer than the bound of 1 s.
 TEST_CASE("keys are served again within 1 s of a loss") {
-    process_cluster cluster(one_data_center());
+    process_cluster cluster(single_data_center_options());
     cluster.start();
-    const auto leader = leader_of(cluster);
+    const auto leader = wait_for_leader(cluster);
     std::vector<std::string> lost;
     std::string upstream;
     SUBCASE("of the leader of the data centre") {
@@ -158,9 +161,9 @@
 // Guards against keys that stay without a gate or an owner for longer than the bound of 1 s.
 TEST_CASE("keys are served again within 1 s of the loss of the leader and a gate" *
           doctest::may_fail()) { // KNOWN-RED.txt
-    process_cluster cluster(one_data_center());
+    process_cluster cluster(single_data_center_options());
     cluster.start();
-    const auto leader = leader_of(cluster);
+    const auto leader = wait_for_leader(cluster);
     const auto voters = voters_of(cluster, leader); // the group keeps its majority
     const std::vector<std::string> lost{leader, gate_other_than(cluster, leader, voters)};
     const std::string upstream;
@@ -171,9 +174,9 @@
 // next generation of its group.
 TEST_CASE("keys are served again within 1 s of the loss of two voters" *
           doctest::may_fail()) { // KNOWN-RED.txt
-    process_cluster cluster(one_data_center());
+    process_cluster cluster(single_data_center_options());
     cluster.start();
-    const auto leader = leader_of(cluster);
+    const auto leader = wait_for_leader(cluster);
     auto lost = voters_of(cluster, leader);
     std::erase_if(lost, [&](const auto& it) { return it == leader || it == "a1"; });
     lost = {lost.front(), leader == "a1" ? lost.back() : leader};
@@ -193,18 +196,18 @@
 void check_pause(process_cluster& cluster, const std::string& leader, const std::string& paused) {
     const auto load = cluster.start_load(200, 6);
     ::usleep(500000);
-    const auto& viewer = cluster.at(first_not_in(cluster, {paused, leader}));
+    const auto& viewer = cluster.at(instance_not_in(cluster, {paused, leader}));
     cluster.at(paused).process->signal(SIGSTOP);
     const auto since = steady_now();
     const auto longest = time_to_serve(cluster, viewer, since);
     MESSAGE("served again after ms: ", longest / 1ms, " paused: ", paused, " leader: ", leader);
     CHECK(longest <= 1s);
     ::usleep(static_cast<useconds_t>(std::max<std::int64_t>(0, (since + 3s - steady_now()) / 1us)));
-    const auto before = leader_of(cluster);
+    const auto before = wait_for_leader(cluster);
     const auto term = term_of(cluster.status(cluster.at(before)), "data_center_group");
     cluster.at(paused).process->signal(SIGCONT);
     ::usleep(1500000);
-    CHECK(leader_of(cluster) == before);
+    CHECK(wait_for_leader(cluster) == before);
     CHECK(term_of(cluster.status(cluster.at(before)), "data_center_group") == term);
     CHECK(process_cluster::wait_until([&] { return cluster.ready(cluster.at(paused)); }, 1s));
     CHECK(load->wait(8s));
@@ -217,9 +220,9 @@
 // forces an election by its return.
 TEST_CASE("an instance that was paused for 3 s neither owns twice nor disturbs" *
           doctest::may_fail()) { // KNOWN-RED.txt
-    process_cluster cluster(one_data_center());
+    process_cluster cluster(single_data_center_options());
     cluster.start();
-    const auto leader = leader_of(cluster);
+    const auto leader = wait_for_leader(cluster);
     std::string paused;
     SUBCASE("the leader, which also leads the global group or gates") {
         paused = leader;
@@ -234,9 +237,9 @@
 // forces an election by its return.
 TEST_CASE("the only global voter that was paused for 3 s neither owns twice nor disturbs" *
           doctest::may_fail()) { // KNOWN-RED.txt
-    process_cluster cluster(one_data_center());
+    process_cluster cluster(single_data_center_options());
     cluster.start();
-    const auto leader = leader_of(cluster);
+    const auto leader = wait_for_leader(cluster);
     const std::string paused = "a1";
     check_pause(cluster, leader, paused);
 }
@@ -244,7 +247,7 @@
 // Guards against an upstream that runs work under a grant that ran out while it was frozen.
 TEST_CASE("an upstream that froze for 3 s is replaced within 1 s and returns without its grant" *
           doctest::may_fail()) { // KNOWN-RED.txt
-    process_cluster cluster(one_data_center());
+    process_cluster cluster(single_data_center_options());
     cluster.start();
     const auto& entry = cluster.at("a2");
     const auto load = cluster.start_load(200, 6);
@@ -291,9 +294,9 @@
 
 // Guards against a planned stop that cuts off requests: the load sees a complete answer for each.
 TEST_CASE("a planned stop under load cuts off no request" * doctest::may_fail()) { // KNOWN-RED.txt
-    process_cluster cluster(one_data_center());
+    process_cluster cluster(single_data_center_options());
     cluster.start();
-    const auto leader = leader_of(cluster);
+    const auto leader = wait_for_leader(cluster);
     std::string stopped;
     SUBCASE("of a gate") {
         stopped = gate_other_than(cluster, leader, {leader});
@@ -324,19 +327,19 @@
 
 // Guards against an upstream that keeps getting work after it announced that it leaves.
 TEST_CASE("an upstream that announces draining gets no new work after 2 s") {
-    process_cluster cluster(one_data_center());
+    process_cluster cluster(single_data_center_options());
     cluster.start();
     const auto load = cluster.start_load(200, 5);
     ::usleep(500000);
     auto& leaving = cluster.upstream_at("u3");
     // A joining upstream gets its shards in steps, so its first run may come later.
-    REQUIRE(process_cluster::wait_until([&] { return runs_recorded(cluster, leaving) > 0; }, 1s));
+    REQUIRE(process_cluster::wait_until([&] { return count_recorded_runs(cluster, leaving) > 0; }, 1s));
     // The limit keeps the process alive, so that work that is still sent to it would be recorded.
     leaving.process->signal(SIGTERM);
     ::usleep(2000000);
-    const auto then = runs_recorded(cluster, leaving);
+    const auto runs_after_drain = count_recorded_runs(cluster, leaving);
     ::usleep(1500000);
-    CHECK(runs_recorded(cluster, leaving) == then);
+    CHECK(count_recorded_runs(cluster, leaving) == runs_after_drain);
     CHECK(load->wait(8s));
     cluster.judge();
 }
--- a/tests/process/control_profile_test.cpp
+++ b/tests/process/control_profile_test.cpp
@@ -14,13 +14,13 @@
     return cluster.profile_text() + "\n# " + mark + "\n";
 }
 
-bool everywhere(process_cluster& cluster, std::uint64_t version) {
+bool in_force_everywhere(process_cluster& cluster, std::uint64_t version) {
     return std::all_of(cluster.instances().begin(), cluster.instances().end(), [&](const instance& it) {
         return cluster.profile_version(it, "navalsig") == version;
     });
 }
 
-cluster_options spread_out() {
+cluster_options three_data_center_options() {
     cluster_options options;
     options.data_centers = {2, 1, 1};
     options.upstreams = 3;
@@ -28,10 +28,10 @@
 }
 
 /// Lowest version with which any ready instance was seen; instances that are not ready serve nothing.
-class version_watch {
+class version_sampler {
 public:
-    explicit version_watch(process_cluster& cluster) : cluster_(cluster) {}
-    void look() {
+    explicit version_sampler(process_cluster& cluster) : cluster_(cluster) {}
+    void sample() {
         for (const auto& it : cluster_.instances()) {
             if (cluster_.ready(it)) {
                 lowest_ = std::min(lowest_, cluster_.profile_version(it, "navalsig"));
@@ -49,13 +49,13 @@
 
 // Guards against changes that are lost, decided twice, or not passed on to every instance.
 TEST_CASE("an accepted profile is in force everywhere within 2 s, and racing operators get one winner") {
-    process_cluster cluster(spread_out());
+    process_cluster cluster(three_data_center_options());
     cluster.start();
     auto& any = cluster.at("a2");
     const auto accepted = cluster.change_profile(any, "navalsig", 1, "second", changed_text(cluster, "2"));
     REQUIRE(accepted.status == 200);
     const auto since = steady_now();
-    CHECK(process_cluster::wait_until([&] { return everywhere(cluster, 2); }, 2s));
+    CHECK(process_cluster::wait_until([&] { return in_force_everywhere(cluster, 2); }, 2s));
     MESSAGE("in force everywhere after ms: ", (steady_now() - since) / 1ms);
 
     SUBCASE("racing operators") {
@@ -91,14 +91,14 @@
             cluster.change_profile(cluster.at("b1"), "navalsig", 1, "second", changed_text(cluster, "2"));
         CHECK(again.status == 200);
         CHECK(again.json() == accepted.json());
-        CHECK(everywhere(cluster, 2));
+        CHECK(in_force_everywhere(cluster, 2));
     }
 }
 
 namespace {
 
 void check_restart_after_changes(bool at_once) {
-    process_cluster cluster(spread_out());
+    process_cluster cluster(three_data_center_options());
     cluster.start();
     const auto begin = steady_now();
     constexpr std::uint64_t last = 501;
@@ -113,8 +113,8 @@
             3s));
     }
     MESSAGE("500 changes took ms: ", (steady_now() - begin) / 1ms);
-    REQUIRE(process_cluster::wait_until([&] { return everywhere(cluster, last); }, 2s));
-    version_watch watch(cluster);
+    REQUIRE(process_cluster::wait_until([&] { return in_force_everywhere(cluster, last); }, 2s));
+    version_sampler sampler(cluster);
     if (at_once) {
         for (auto& it : cluster.instances()) {
             it.process->kill();
@@ -127,7 +127,7 @@
             cluster.restart(it);
             const bool back = process_cluster::wait_until(
                 [&] {
-                    watch.look();
+                    sampler.sample();
                     return cluster.ready(it);
                 },
                 5s);
@@ -137,13 +137,13 @@
     const auto since = steady_now();
     const bool all = process_cluster::wait_until(
         [&] {
-            watch.look();
-            return everywhere(cluster, last) && cluster.all_owned();
+            sampler.sample();
+            return in_force_everywhere(cluster, last) && cluster.all_owned();
         },
         8s);
     CHECK(all);
     MESSAGE("ready again after ms: ", (steady_now() - since) / 1ms);
-    CHECK(watch.lowest() == last);
+    CHECK(sampler.lowest() == last);
 }
 
 } // namespace
--- a/tests/process/request_cancel_test.cpp
+++ b/tests/process/request_cancel_test.cpp
@@ -9,7 +9,7 @@
 // Guards against slots that are given away while a request whose deadline passed still runs in them.
 TEST_CASE("an execution that outlives its deadline keeps its slot until it ends") {
     // Lookups have a deadline of 250 ms; each takes 600 ms in one of two slots.
-    process_cluster cluster(one_data_center(3, 1, 600, 2));
+    process_cluster cluster(single_data_center_options(3, 1, 600, 2));
     cluster.start();
     std::atomic<bool> stop{false};
     std::vector<std::thread> callers;
--- a/tests/process/request_fault_test.cpp
+++ b/tests/process/request_fault_test.cpp
@@ -24,7 +24,7 @@
     return longest;
 }
 
-void begin_fault(process_cluster& cluster, const std::string& upstream, const std::string& query) {
+void start_fault(process_cluster& cluster, const std::string& upstream, const std::string& query) {
     const auto it =
         cluster.call(cluster.upstream_at(upstream).address, "/stand-in/fault?" + query, "POST", "x");
     REQUIRE(it.status == 200);
@@ -44,9 +44,9 @@
 // Guards against a caller that gets the answer to another request, or a part of an answer.
 TEST_CASE("late, crossed and cut-off answers reach no caller") {
     process_cluster cluster(
-        one_data_center(3, 3, 5, 4,
-                        {"--fault", "late:0:60000:0.02", "--fault", "crossed:0:60000:0.05", "--fault",
-                         "cut-off:0:60000:0.05", "--late-by", "400"}));
+        single_data_center_options(3, 3, 5, 4,
+                                   {"--fault", "late:0:60000:0.02", "--fault", "crossed:0:60000:0.05",
+                                    "--fault", "cut-off:0:60000:0.05", "--late-by", "400"}));
     cluster.start();
     const auto load = cluster.start_load(200, 4, {"--mix", "80:20:0", "--judge", cluster.records()});
     REQUIRE(load->wait(15s));
@@ -71,12 +71,12 @@
 
 // Guards against open connections that went silent being taken for a frozen upstream, or being waited for.
 TEST_CASE("silent connections and a frozen upstream are told apart, each within a second") {
-    process_cluster cluster(one_data_center(3, 3, 2));
+    process_cluster cluster(single_data_center_options(3, 3, 2));
     cluster.start();
     const auto& entry = cluster.at("a1");
-    const auto key = key_of(cluster, entry, "u1");
+    const auto key = find_key_owned_by(cluster, entry, "u1");
     SUBCASE("silent: the upstream stays and answers on new connections") {
-        begin_fault(cluster, "u1", "kind=silent");
+        start_fault(cluster, "u1", "kind=silent");
         ::usleep(10000);
         // A booking may take 1 s; a lookup's deadline of 250 ms ends by itself about when a probe is due.
         const auto sent = steady_now();
@@ -91,7 +91,7 @@
         CHECK_FALSE(declared_lost(cluster, "u1"));
     }
     SUBCASE("frozen: another upstream serves the key") {
-        begin_fault(cluster, "u1", "kind=freeze&for_ms=3500");
+        start_fault(cluster, "u1", "kind=freeze&for_ms=3500");
         const auto gap = longest_gap(cluster, entry, key, 2500ms);
         MESSAGE("longest time without an answer: " << gap.count() / 1000 << " ms");
         CHECK(gap < 1s);
@@ -103,7 +103,7 @@
 
 // Guards against waiting for a paused instance whose connections stay open.
 TEST_CASE("keys behind a paused instance are served again within a second") {
-    process_cluster cluster(one_data_center(4, 4, 2));
+    process_cluster cluster(single_data_center_options(4, 4, 2));
     cluster.start();
     auto& entry = cluster.at("a1");
     std::string paused;
@@ -112,7 +112,7 @@
         const auto gate = cluster.row(entry, it.name).at("gate").get<std::string>();
         if (gate != "a1") {
             paused = gate;
-            key = key_of(cluster, entry, it.name);
+            key = find_key_owned_by(cluster, entry, it.name);
             break;
         }
     }
@@ -129,7 +129,7 @@
 
 // Guards against a request that crashes upstream after upstream, and against other keys suffering from it.
 TEST_CASE("a request that crashes upstreams runs at most twice, also when resent through other instances") {
-    process_cluster cluster(one_data_center(3, 6, 5, 4, {"--crash-prefix", "crash-"}));
+    process_cluster cluster(single_data_center_options(3, 6, 5, 4, {"--crash-prefix", "crash-"}));
     cluster.start();
     std::string last_reason;
     for (int n = 0; n < 14; ++n) {
--- a/tests/process/request_flood_test.cpp
+++ b/tests/process/request_flood_test.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 /// Answered requests per second of a rank.
-double served(const nlohmann::json& report, const std::string& kind) {
+double answer_rate(const nlohmann::json& report, const std::string& kind) {
     return report.at("ranks").at(kind).at("answered").get<double>() / report.at("seconds").get<double>();
 }
 
 // 2 upstreams with 2 slots and 20 ms serve 200 requests/s; navalsig.toml guarantees bookings 15%.
-constexpr double capacity = 200;
+constexpr double capacity_per_s = 200;
 
 } // namespace
 
 // Guards against a rank that loses its guaranteed share in a flood of urgent work.
 TEST_CASE("in an urgent flood of twice the capacity bookings keep their share") {
-    process_cluster cluster(one_data_center(3, 2, 20, 2));
+    process_cluster cluster(single_data_center_options(3, 2, 20, 2));
     cluster.start();
     const auto load =
         cluster.start_load(0, 5,
@@ -26,12 +26,12 @@
                             "deferrable:0", "--warmup", "1", "--judge", cluster.records()});
     REQUIRE(load->wait(20s));
     const auto report = cluster.load_report();
-    MESSAGE("urgent flood: urgent " << served(report, "urgent") << "/s, standard "
-                                    << served(report, "standard") << "/s");
+    MESSAGE("urgent flood: urgent " << answer_rate(report, "urgent") << "/s, standard "
+                                    << answer_rate(report, "standard") << "/s");
     // The guarantee is a share of the slot time, and both ranks take the same time in a slot.
-    const double answered = served(report, "standard") + served(report, "urgent");
-    CHECK(served(report, "standard") >= 0.15 * answered);
-    CHECK(served(report, "urgent") > 0.5 * capacity);
+    const double answered = answer_rate(report, "standard") + answer_rate(report, "urgent");
+    CHECK(answer_rate(report, "standard") >= 0.15 * answered);
+    CHECK(answer_rate(report, "urgent") > 0.5 * capacity_per_s);
     CHECK_FALSE(report.at("violated").get<bool>());
     cluster.judge();
 }
@@ -39,7 +39,7 @@
 // Guards against urgent work that is not served first in a flood of bookings.
 TEST_CASE("in a booking flood of twice the capacity urgent work is served first" *
           doctest::may_fail()) { // KNOWN-RED.txt
-    process_cluster cluster(one_data_center(3, 2, 20, 2));
+    process_cluster cluster(single_data_center_options(3, 2, 20, 2));
     cluster.start();
     const auto load =
         cluster.start_load(0, 5,
@@ -47,11 +47,11 @@
                             "deferrable:0", "--warmup", "1", "--judge", cluster.records()});
     REQUIRE(load->wait(20s));
     const auto report = cluster.load_report();
-    MESSAGE("booking flood: urgent " << served(report, "urgent") << "/s, standard "
-                                     << served(report, "standard") << "/s");
+    MESSAGE("booking flood: urgent " << answer_rate(report, "urgent") << "/s, standard "
+                                     << answer_rate(report, "standard") << "/s");
     MESSAGE(report.at("ranks").at("urgent").dump()); // tells why requests were not served
-    CHECK(served(report, "urgent") > 60 * 0.85);
-    CHECK(served(report, "standard") > 0.3 * capacity);
+    CHECK(answer_rate(report, "urgent") > 60 * 0.85);
+    CHECK(answer_rate(report, "standard") > 0.3 * capacity_per_s);
     CHECK_FALSE(report.at("violated").get<bool>());
     cluster.judge();
 }
@@ -59,7 +59,7 @@
 // Guards against work that is cut off or refused when an upstream or an instance leaves as planned.
 TEST_CASE("a draining upstream and a stopping instance cut off no request" *
           doctest::may_fail()) { // KNOWN-RED.txt
-    process_cluster cluster(one_data_center(4, 4, 20));
+    process_cluster cluster(single_data_center_options(4, 4, 20));
     cluster.start();
     const auto load =
         cluster.start_load(100, 5, {"--mix", "80:20:0", "--judge", cluster.records()}, {"a1", "a3", "a4"});
@@ -85,13 +85,14 @@
 
 // Guards against a lying load report that takes a working upstream out of service.
 TEST_CASE("misleading load reports cost no correct service") {
-    process_cluster cluster(one_data_center(3, 3, 5, 4, {"--load-misreport", "50", "--load-lag", "500"}));
+    process_cluster cluster(
+        single_data_center_options(3, 3, 5, 4, {"--load-misreport", "50", "--load-lag", "500"}));
     cluster.start();
     const auto load = cluster.start_load(150, 3, {"--mix", "80:20:0", "--judge", cluster.records()});
     REQUIRE(load->wait(15s));
     const auto report = cluster.load_report();
     MESSAGE(report.at("ranks").at("urgent").dump());
     CHECK_FALSE(report.at("violated").get<bool>());
-    CHECK(served(report, "urgent") + served(report, "standard") > 0.95 * 150);
+    CHECK(answer_rate(report, "urgent") + answer_rate(report, "standard") > 0.95 * 150);
     cluster.judge();
 }
--- a/tests/process/request_ledger_test.cpp
+++ b/tests/process/request_ledger_test.cpp
@@ -10,7 +10,7 @@
 
 // Guards against `not-run` for a resend that the queue refuses although the first send ran.
 TEST_CASE("a resend that is refused by a full queue still gets the recorded answer") {
-    process_cluster cluster(one_data_center(3, 1, 100, 1));
+    process_cluster cluster(single_data_center_options(3, 1, 100, 1));
     cluster.start();
     const auto& entry = cluster.at("a1");
     const auto first = cluster.book(entry, "k", "first");
@@ -58,20 +58,20 @@
 // Guards against double runs, false `not-run` and differing answers when the gate of a booking is lost and
 // the caller resends it through other instances.
 TEST_CASE("bookings that are resent through other instances while a gate is killed run at most once") {
-    process_cluster cluster(one_data_center(4, 4, 20));
+    process_cluster cluster(single_data_center_options(4, 4, 20));
     cluster.start();
-    struct told {
+    struct booking {
         std::string id;
         std::vector<answer> answers;
     };
     std::atomic<bool> stop{false};
-    std::vector<std::vector<told>> all(12);
+    std::vector<std::vector<booking>> all(12);
     std::vector<std::thread> callers;
     for (std::size_t n = 0; n < all.size(); ++n) {
         callers.emplace_back([&, n] {
             http_caller caller;
             for (std::size_t i = 0; !stop; ++i) {
-                told it{"b-" + std::to_string(n) + "-" + std::to_string(i), {}};
+                booking it{"b-" + std::to_string(n) + "-" + std::to_string(i), {}};
                 // Twice in any case, so that a recorded answer is compared with the first.
                 for (std::size_t attempt = 0; attempt < 6; ++attempt) {
                     const auto& entry = cluster.instances()[(n + i + attempt) % 4];
@@ -129,7 +129,7 @@
 
 // Guards against running a key again whose record may have been dropped.
 TEST_CASE("a key in UUIDv7 form that is older than the retention is refused, unless its answer is known") {
-    process_cluster cluster(one_data_center(3, 2, 5));
+    process_cluster cluster(single_data_center_options(3, 2, 5));
     cluster.start();
     const auto uuid = [](std::chrono::milliseconds age, const std::string& tail) {
         const auto at = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -180,7 +180,7 @@
 // restart of each instance in turn no replica would know the booking, and a resend would run again.
 TEST_CASE("a booking is known after each instance was restarted in turn" *
           doctest::may_fail()) { // KNOWN-RED.txt
-    process_cluster cluster(one_data_center(3, 2, 10, 2));
+    process_cluster cluster(single_data_center_options(3, 2, 10, 2));
     cluster.start();
     std::vector<std::string> ids;
     for (int n = 0; n < 20; ++n) {
--- a/tests/process/request_support.h
+++ b/tests/process/request_support.h
@@ -13,9 +13,9 @@
 namespace kingcupseam::test {
 
 /// Options of a cluster in one data centre.
-inline cluster_options one_data_center(std::size_t instances, std::size_t upstreams, double service_time_ms,
-                                       std::uint32_t slots = 4,
-                                       const std::vector<std::string>& upstream_options = {}) {
+inline cluster_options single_data_center_options(std::size_t instances, std::size_t upstreams,
+                                                  double service_time_ms, std::uint32_t slots = 4,
+                                                  const std::vector<std::string>& upstream_options = {}) {
     cluster_options result;
     result.data_centers = {instances};
     result.upstreams = upstreams;
@@ -65,8 +65,8 @@
 }
 
 /// A key that the upstream owns.
-inline std::string key_of(process_cluster& cluster, const process_cluster::instance& entry,
-                          const std::string& upstream) {
+inline std::string find_key_owned_by(process_cluster& cluster, const process_cluster::instance& entry,
+                                     const std::string& upstream) {
     for (int n = 0; n < 200; ++n) {
         const auto key = "key-" + std::to_string(n);
         if (owner_of(cluster, entry, key) == upstream) {
