--- a/tests/process/control_cluster_test.cpp
+++ b/tests/process/control_cluster_test.cpp
@@ -3,7 +3,7 @@
 using namespace kingcupseam;
 using namespace kingcupseam::test;
 
-// Guards against a cluster that does not form, or does not serve from every entry.
+// Guards against a cluster that does not form, or in which an instance does not serve callers.
 TEST_CASE("a small cluster forms and serves from every instance") {
     process_cluster cluster;
     cluster.start();
--- a/tests/process/control_disk_test.cpp
+++ b/tests/process/control_disk_test.cpp
@@ -6,8 +6,7 @@
 
 namespace {
 
-/// True once the voters of the global group, as its leader sees them, are as many as wanted and all of them
-/// run.
+/// True once the leader of the global group reports exactly the voters @p wanted, which are sorted.
 bool voters_restored(process_cluster& cluster, const std::vector<std::string>& wanted) {
     for (const auto& it : cluster.instances()) {
         if (!it.process || !it.process->running()) {
@@ -38,8 +37,8 @@
 
 } // namespace
 
-// Guards against a group that takes a voter back that has forgotten its votes, or never replaces it: then the
-// second loss ends the group.
+// Guards against a group that readmits a voter which lost its votes with its disk, or never replaces it: the
+// loss of a second voter would then end the group.
 TEST_CASE("a durable voter that lost its disk returns as a new member, and a second voter may be lost") {
     cluster_options options;
     options.data_centers = {1, 1, 1};
@@ -59,7 +58,7 @@
         },
         8s));
     MESSAGE("repaired after ms: ", (steady_now() - since) / 1ms);
-    SUBCASE("the second loss is a voter that held the change from the start") {
+    SUBCASE("the second loss is a voter that stored the change when it was accepted") {
         cluster.at("a1").process->kill();
         CHECK(accept_change(cluster, "b1", 2));
         CHECK(cluster.profile_version(cluster.at("c1"), "navalsig") >= 2);
@@ -70,7 +69,7 @@
     }
 }
 
-// Guards against a group that stays one voter short although an instance with a disk is at hand.
+// Guards against a group that stays one voter short although another instance with a disk is available.
 TEST_CASE("a spare with a disk takes the place of a durable voter that is lost for good") {
     cluster_options options;
     options.data_centers = {2, 1, 1};
--- a/tests/process/control_loss_test.cpp
+++ b/tests/process/control_loss_test.cpp
@@ -23,12 +23,13 @@
     return "key-" + std::to_string(n);
 }
 
-/// Looks up every key through one entry until each was answered after @p since. @returns the longest time
+/// Repeats a lookup of every key through @p entry until it is answered. @returns the longest time from
+/// @p since to an answer
 duration time_to_serve(process_cluster& cluster, const instance& entry, time_point since,
                        duration limit = 4s) {
     duration longest{};
     for (int n = 0; n < key_count; ++n) {
-        // Keys are asked in turn, so a late one delays the others by at most its own time.
+        // Keys are looked up one after another, so the time of a key includes waiting for the keys before it.
         const bool ran = process_cluster::wait_until(
             [&] { return cluster.lookup(entry, test_key(n), 100ms).ran(); }, since + limit - steady_now());
         const auto last = ran ? answer{} : cluster.lookup(entry, test_key(n), 500ms);
@@ -63,7 +64,7 @@
     return found;
 }
 
-/// An instance that gates an upstream and is none of the given ones.
+/// Name of an instance that is the gate of an upstream and is not among @p others.
 std::string gate_other_than(process_cluster& cluster, const std::string& viewer,
                             const std::vector<std::string>& others) {
     for (const auto& it : cluster.upstreams()) {
@@ -124,7 +125,7 @@
     MESSAGE("served again after ms: ", longest / 1ms, " lost: ", lost.empty() ? upstream : lost.front(),
             lost.size() > 1 ? " and " + lost.back() : "");
     CHECK(longest <= 1s);
-    // At-most-once work needs the gate itself, not only a standby.
+    // At-most-once requests need the gate; a standby can't serve them.
     const bool booked = process_cluster::wait_until(
         [&] {
             return cluster
@@ -164,7 +165,7 @@
     process_cluster cluster(single_data_center_options());
     cluster.start();
     const auto leader = wait_for_leader(cluster);
-    const auto voters = voters_of(cluster, leader); // the group keeps its majority
+    const auto voters = voters_of(cluster, leader); // the gate is no voter, so the group keeps its majority
     const std::vector<std::string> lost{leader, gate_other_than(cluster, leader, voters)};
     const std::string upstream;
     check_loss(cluster, lost, upstream);
@@ -216,8 +217,8 @@
 
 } // namespace
 
-// Guards against a process that acts on leases that ran out while it was paused, and against one that
-// forces an election by its return.
+// Guards against a process that acts on leases that expired while it was paused, and against one that
+// forces an election when it resumes.
 TEST_CASE("an instance that was paused for 3 s neither owns twice nor disturbs" *
           doctest::may_fail()) { // KNOWN-RED.txt
     process_cluster cluster(single_data_center_options());
@@ -233,8 +234,8 @@
     check_pause(cluster, leader, paused);
 }
 
-// Guards against a process that acts on leases that ran out while it was paused, and against one that
-// forces an election by its return.
+// Guards against a process that acts on leases that expired while it was paused, and against one that
+// forces an election when it resumes.
 TEST_CASE("the only global voter that was paused for 3 s neither owns twice nor disturbs" *
           doctest::may_fail()) { // KNOWN-RED.txt
     process_cluster cluster(single_data_center_options());
@@ -244,7 +245,7 @@
     check_pause(cluster, leader, paused);
 }
 
-// Guards against an upstream that runs work under a grant that ran out while it was frozen.
+// Guards against an upstream that runs requests under a grant that expired while it was frozen.
 TEST_CASE("an upstream that froze for 3 s is replaced within 1 s and returns without its grant" *
           doctest::may_fail()) { // KNOWN-RED.txt
     process_cluster cluster(single_data_center_options());
@@ -269,7 +270,8 @@
     cluster.judge();
 }
 
-// Guards against a data centre that stays without a group once the majority of its voters is gone for good.
+// Guards against a data centre that stays without a group after the permanent loss of a majority of its
+// voters.
 TEST_CASE("a data centre whose diskless instances all restart gets a group of the next generation") {
     cluster_options options;
     options.data_centers = {1, 3};
@@ -325,21 +327,21 @@
     cluster.judge();
 }
 
-// Guards against an upstream that keeps getting work after it announced that it leaves.
-TEST_CASE("an upstream that announces draining gets no new work after 2 s") {
+// Guards against an upstream that still receives requests after it announced that it is draining.
+TEST_CASE("an upstream that announces draining gets no new requests after 2 s") {
     process_cluster cluster(single_data_center_options());
     cluster.start();
     const auto load = cluster.start_load(200, 5);
     ::usleep(500000);
     auto& leaving = cluster.upstream_at("u3");
-    // A joining upstream gets its shards in steps, so its first run may come later.
+    // A joining upstream gets its shards in steps, so its first request may arrive late.
     REQUIRE(process_cluster::wait_until([&] { return count_recorded_runs(cluster, leaving) > 0; }, 1s));
-    // The limit keeps the process alive, so that work that is still sent to it would be recorded.
+    // Until its drain limit passes the upstream runs on while it is busy, so it would record late requests.
     leaving.process->signal(SIGTERM);
     ::usleep(2000000);
-    const auto runs_after_drain = count_recorded_runs(cluster, leaving);
+    const auto runs_after_2s = count_recorded_runs(cluster, leaving);
     ::usleep(1500000);
-    CHECK(count_recorded_runs(cluster, leaving) == runs_after_drain);
+    CHECK(count_recorded_runs(cluster, leaving) == runs_after_2s);
     CHECK(load->wait(8s));
     cluster.judge();
 }
--- a/tests/process/control_profile_test.cpp
+++ b/tests/process/control_profile_test.cpp
@@ -27,7 +27,7 @@
     return options;
 }
 
-/// Lowest version with which any ready instance was seen; instances that are not ready serve nothing.
+/// Lowest profile version seen at a ready instance; instances that are not ready serve no requests.
 class version_sampler {
 public:
     explicit version_sampler(process_cluster& cluster) : cluster_(cluster) {}
@@ -47,8 +47,9 @@
 
 } // namespace
 
-// Guards against changes that are lost, decided twice, or not passed on to every instance.
-TEST_CASE("an accepted profile is in force everywhere within 2 s, and racing operators get one winner") {
+// Guards against profile changes that are lost, decided twice, or not distributed to every instance.
+TEST_CASE(
+    "an accepted profile is in force everywhere within 2 s, and one of several concurrent changes wins") {
     process_cluster cluster(three_data_center_options());
     cluster.start();
     auto& any = cluster.at("a2");
@@ -58,7 +59,7 @@
     CHECK(process_cluster::wait_until([&] { return in_force_everywhere(cluster, 2); }, 2s));
     MESSAGE("in force everywhere after ms: ", (steady_now() - since) / 1ms);
 
-    SUBCASE("racing operators") {
+    SUBCASE("concurrent changes to the same base version") {
         std::vector<answer> answers(cluster.instances().size());
         std::vector<std::thread> operators;
         for (std::size_t n = 0; n < answers.size(); ++n) {
@@ -104,7 +105,7 @@
     constexpr std::uint64_t last = 501;
     for (std::uint64_t n = 1; n < last; ++n) {
         const auto id = "change-" + std::to_string(n);
-        // An unconfirmed change is resent with its id, as the operators' page says.
+        // An unconfirmed change is resent with the same id, as the operators' page prescribes.
         REQUIRE(process_cluster::wait_until(
             [&] {
                 return cluster.change_profile(cluster.at("a1"), "navalsig", n, id, changed_text(cluster, id))
@@ -148,8 +149,8 @@
 
 } // namespace
 
-// Guards against a voter that serves with the state of its snapshot or log before it knows what is committed.
-TEST_CASE("no restart of all instances at once brings an older profile back, also after 500 changes") {
+// Guards against a voter that serves from its snapshot or log before it knows the commit index.
+TEST_CASE("a restart of all instances at once restores no older profile after 500 changes") {
     check_restart_after_changes(true);
 }
 
