--- a/tests/process/request_cancel_test.cpp
+++ b/tests/process/request_cancel_test.cpp
@@ -6,7 +6,7 @@
 using namespace kingcupseam::test;
 using namespace std::chrono_literals;
 
-// Guards against slots that are given away while a request whose deadline passed still runs in them.
+// Guards against reusing a slot while a request whose deadline passed still runs in it.
 TEST_CASE("an execution that outlives its deadline keeps its slot until it ends") {
     // Lookups have a deadline of 250 ms; each takes 600 ms in one of two slots.
     process_cluster cluster(single_data_center_options(3, 1, 600, 2));
--- a/tests/process/request_fault_test.cpp
+++ b/tests/process/request_fault_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Longest time without an answered lookup of the key, over @p length.
+/// Longest time without an answered lookup of the key during @p length.
 duration longest_gap(process_cluster& cluster, const process_cluster::instance& entry, const std::string& key,
                      duration length) {
     const auto end = steady_now() + length;
@@ -30,7 +30,7 @@
     REQUIRE(it.status == 200);
 }
 
-/// True when a leader took the upstream for lost.
+/// True when the log of an instance says that it declared the upstream lost.
 bool declared_lost(process_cluster& cluster, const std::string& upstream) {
     const auto& all = cluster.instances();
     return std::any_of(all.begin(), all.end(), [&](const auto& it) {
@@ -41,7 +41,7 @@
 
 } // namespace
 
-// Guards against a caller that gets the answer to another request, or a part of an answer.
+// Guards against a caller that receives the answer to another request or a truncated answer.
 TEST_CASE("late, crossed and cut-off answers reach no caller") {
     process_cluster cluster(
         single_data_center_options(3, 3, 5, 4,
@@ -69,7 +69,8 @@
     cluster.judge();
 }
 
-// Guards against open connections that went silent being taken for a frozen upstream, or being waited for.
+// Guards against declaring an upstream lost because open connections went silent, and against waiting for
+// an answer on such connections.
 TEST_CASE("silent connections and a frozen upstream are told apart, each within a second") {
     process_cluster cluster(single_data_center_options(3, 3, 2));
     cluster.start();
@@ -78,7 +79,7 @@
     SUBCASE("silent: the upstream stays and answers on new connections") {
         start_fault(cluster, "u1", "kind=silent");
         ::usleep(10000);
-        // A booking may take 1 s; a lookup's deadline of 250 ms ends by itself about when a probe is due.
+        // A booking may take 1 s; the 250 ms deadline of a lookup would pass at about the time of the probe.
         const auto sent = steady_now();
         const auto booked = cluster.book(entry, key, "after-silence");
         const auto took = steady_now() - sent;
@@ -127,8 +128,9 @@
     cluster.judge();
 }
 
-// Guards against a request that crashes upstream after upstream, and against other keys suffering from it.
-TEST_CASE("a request that crashes upstreams runs at most twice, also when resent through other instances") {
+// Guards against a poison request that crashes one upstream after another, and against failed requests for
+// other keys.
+TEST_CASE("a poison request runs at most twice, even when resent through other instances") {
     process_cluster cluster(single_data_center_options(3, 6, 5, 4, {"--crash-prefix", "crash-"}));
     cluster.start();
     std::string last_reason;
--- a/tests/process/request_flood_test.cpp
+++ b/tests/process/request_flood_test.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-/// Answered requests per second of a rank.
+/// Answered requests per second of the rank @p kind.
 double answer_rate(const nlohmann::json& report, const std::string& kind) {
     return report.at("ranks").at(kind).at("answered").get<double>() / report.at("seconds").get<double>();
 }
 
-// 2 upstreams with 2 slots and 20 ms serve 200 requests/s; navalsig.toml guarantees bookings 15%.
+// 2 upstreams with 2 slots each and a service time of 20 ms. navalsig.toml guarantees bookings 15%.
 constexpr double capacity_per_s = 200;
 
 } // namespace
 
-// Guards against a rank that loses its guaranteed share in a flood of urgent work.
-TEST_CASE("in an urgent flood of twice the capacity bookings keep their share") {
+// Guards against a rank that loses its guaranteed share under an overload of urgent requests.
+TEST_CASE("bookings keep their share under urgent load of twice the capacity") {
     process_cluster cluster(single_data_center_options(3, 2, 20, 2));
     cluster.start();
     const auto load =
@@ -36,7 +36,7 @@
     cluster.judge();
 }
 
-// Guards against urgent work that is not served first in a flood of bookings.
+// Guards against urgent requests that are not served first under an overload of bookings.
 TEST_CASE("in a booking flood of twice the capacity urgent work is served first" *
           doctest::may_fail()) { // KNOWN-RED.txt
     process_cluster cluster(single_data_center_options(3, 2, 20, 2));
@@ -49,14 +49,14 @@
     const auto report = cluster.load_report();
     MESSAGE("booking flood: urgent " << answer_rate(report, "urgent") << "/s, standard "
                                      << answer_rate(report, "standard") << "/s");
-    MESSAGE(report.at("ranks").at("urgent").dump()); // tells why requests were not served
+    MESSAGE(report.at("ranks").at("urgent").dump()); // shows why requests were not served
     CHECK(answer_rate(report, "urgent") > 60 * 0.85);
     CHECK(answer_rate(report, "standard") > 0.3 * capacity_per_s);
     CHECK_FALSE(report.at("violated").get<bool>());
     cluster.judge();
 }
 
-// Guards against work that is cut off or refused when an upstream or an instance leaves as planned.
+// Guards against requests that are cut off or refused during the planned stop of an upstream or an instance.
 TEST_CASE("a draining upstream and a stopping instance cut off no request" *
           doctest::may_fail()) { // KNOWN-RED.txt
     process_cluster cluster(single_data_center_options(4, 4, 20));
@@ -83,8 +83,8 @@
     cluster.judge();
 }
 
-// Guards against a lying load report that takes a working upstream out of service.
-TEST_CASE("misleading load reports cost no correct service") {
+// Guards against a wrong load report that takes a working upstream out of service.
+TEST_CASE("95% of the requests are answered despite wrong load reports") {
     process_cluster cluster(
         single_data_center_options(3, 3, 5, 4, {"--load-misreport", "50", "--load-lag", "500"}));
     cluster.start();
--- a/tests/process/request_ledger_test.cpp
+++ b/tests/process/request_ledger_test.cpp
@@ -8,7 +8,7 @@
 using namespace kingcupseam::test;
 using namespace std::chrono_literals;
 
-// Guards against `not-run` for a resend that the queue refuses although the first send ran.
+// Guards against answering `not-run` to a resend that a full queue refuses although the first send ran.
 TEST_CASE("a resend that is refused by a full queue still gets the recorded answer") {
     process_cluster cluster(single_data_center_options(3, 1, 100, 1));
     cluster.start();
@@ -16,7 +16,7 @@
     const auto first = cluster.book(entry, "k", "first");
     REQUIRE(first.ran());
 
-    // One slot and 100 ms serve 10 bookings a second; 24 callers keep the queue at its limit.
+    // One slot with a service time of 100 ms serves 10 bookings/s, so 24 callers keep the queue full.
     std::atomic<bool> stop{false};
     std::atomic<int> refused{0};
     std::vector<std::thread> callers;
@@ -55,8 +55,8 @@
     cluster.judge();
 }
 
-// Guards against double runs, false `not-run` and differing answers when the gate of a booking is lost and
-// the caller resends it through other instances.
+// Guards against double runs, false `not-run` outcomes and differing answers when the gate of a booking is
+// lost and the caller resends the booking through other instances.
 TEST_CASE("bookings that are resent through other instances while a gate is killed run at most once") {
     process_cluster cluster(single_data_center_options(4, 4, 20));
     cluster.start();
@@ -72,7 +72,7 @@
             http_caller caller;
             for (std::size_t i = 0; !stop; ++i) {
                 booking it{"b-" + std::to_string(n) + "-" + std::to_string(i), {}};
-                // Twice in any case, so that a recorded answer is compared with the first.
+                // At least two sends, so that a recorded answer is compared with the first one.
                 for (std::size_t attempt = 0; attempt < 6; ++attempt) {
                     const auto& entry = cluster.instances()[(n + i + attempt) % 4];
                     it.answers.push_back(book_from(caller, entry.caller(), it.id, it.id, 400ms));
@@ -85,7 +85,7 @@
         });
     }
     ::usleep(800000);
-    // Not the first, which is the only global voter.
+    // a1 is the only global voter, so another instance is killed.
     cluster.at("a2").process->kill();
     ::usleep(2500000);
     stop = true;
@@ -108,7 +108,7 @@
                     body = got.body;
                     ran_before = true;
                 }
-                // A later send may run after one that was told not-run, but none may have run before it.
+                // A send may run after an earlier `not-run`, but `not-run` is false after a send that ran.
                 false_not_run += ran_before && got.header("kingcupseam-outcome") == "not-run" ? 1 : 0;
             }
             answered += ran_before ? 1 : 0;
@@ -127,7 +127,7 @@
     cluster.judge();
 }
 
-// Guards against running a key again whose record may have been dropped.
+// Guards against running a request again when the record of its idempotency key may have been dropped.
 TEST_CASE("a key in UUIDv7 form that is older than the retention is refused, unless its answer is known") {
     process_cluster cluster(single_data_center_options(3, 2, 5));
     cluster.start();
@@ -157,8 +157,8 @@
 
 namespace {
 
-/// True once every ledger group of the data centre counts the present incarnation of @p restarted and none
-/// joins.
+/// True once the current incarnation of @p restarted is a ledger replica and a voter of the data centre and
+/// no replica is joining.
 bool ledger_repaired(process_cluster& cluster, const std::string& viewer, const std::string& restarted) {
     const auto status = cluster.status(cluster.at(viewer));
     const auto own = cluster.status(cluster.at(restarted));
@@ -176,7 +176,7 @@
 
 } // namespace
 
-// Guards against a restarted instance that counts as a ledger replica although its windows are lost: after a
+// Guards against counting a restarted instance as a ledger replica although it lost its records: after a
 // restart of each instance in turn no replica would know the booking, and a resend would run again.
 TEST_CASE("a booking is known after each instance was restarted in turn" *
           doctest::may_fail()) { // KNOWN-RED.txt
--- a/tests/process/request_support.h
+++ b/tests/process/request_support.h
@@ -25,7 +25,7 @@
     return result;
 }
 
-/// Executions in the records of all stand-ins, counted at their start.
+/// Number of started executions in the records of all stand-ins.
 struct run_counts {
     std::map<std::string, int> by_key;
     std::map<std::string, int> by_idempotency_key;
@@ -77,7 +77,7 @@
     return {};
 }
 
-/// Books @p id at @p address; for threads, which may not share the cluster's client.
+/// Books @p id at @p address with the calling thread's own client; the cluster's client isn't thread-safe.
 inline answer book_from(http_caller& caller, const std::string& address, const std::string& key,
                         const std::string& id, duration timeout = std::chrono::milliseconds(1500)) {
     return caller.send("POST", address, "/registry/rafts/" + key + "/bookings", "body",
