--- a/tests/process/stand_in_process_test.cpp
+++ b/tests/process/stand_in_process_test.cpp
@@ -25,7 +25,7 @@
 
 namespace {
 
-/// The binary, started with arguments; killed by its process id when the test ends.
+/// A process of the binary under test, killed on destruction.
 class child {
 public:
     explicit child(std::vector<std::string> words) {
@@ -173,7 +173,7 @@
     CHECK(process.wait(2s) == 0);
 }
 
-TEST_CASE_FIXTURE(fixture, "commands tell wrong use and violations by their exit codes") {
+TEST_CASE_FIXTURE(fixture, "exit codes of commands distinguish usage errors from violations") {
     CHECK(child({"load", "--help"}).wait(5s) == 0);
     CHECK(child({"stand-in", "--help"}).wait(5s) == 0);
     CHECK(child({"load", "--rate", "x"}).wait(5s) == 2);
