--- a/tests/membership/detector_test.cpp
+++ b/tests/membership/detector_test.cpp
@@ -21,7 +21,7 @@
             net.start(n);
         }
         net.run(10s);
-        REQUIRE(net.missing() == 0);
+        REQUIRE(net.count_unseen_pairs() == 0);
         net.on_change = [this](std::size_t n, const record& it) { changes.emplace_back(n, it); };
     }
     auto seen(status condition, const std::string& name) const {
@@ -37,7 +37,7 @@
     group it(12);
     it.net.start(12);
     it.net.run(2s);
-    CHECK(it.net.missing() == 0);
+    CHECK(it.net.count_unseen_pairs() == 0);
     CHECK(it.seen(status::alive, "i12") >= 12);
 }
 
@@ -54,7 +54,7 @@
     net.run(3s);
     net.start(0);
     net.run(2s);
-    CHECK(net.missing() == 0);
+    CHECK(net.count_unseen_pairs() == 0);
 }
 
 TEST_CASE("all members see a lost instance as dead") {
@@ -63,12 +63,12 @@
     it.net.run(2s);
     CHECK(it.seen(status::dead, "i7") == 11);
     CHECK_FALSE(it.net.at(3).alive({"i7", 1}));
-    CHECK(it.net.missing() == 0);
+    CHECK(it.net.count_unseen_pairs() == 0);
 
     SUBCASE("the instance returns with a higher incarnation") {
         it.net.start(7, 2);
         it.net.run(3s);
-        CHECK(it.net.missing() == 0);
+        CHECK(it.net.count_unseen_pairs() == 0);
         CHECK_FALSE(it.net.at(3).alive({"i7", 1}));
     }
 }
@@ -81,7 +81,7 @@
     it.changes.clear();
     it.net.pause(7, false);
     it.net.run(3s);
-    CHECK(it.net.missing() == 0);
+    CHECK(it.net.count_unseen_pairs() == 0);
     SUBCASE("the paused instance does not declare others dead") {
         CHECK(std::none_of(it.changes.begin(), it.changes.end(), [](const auto& one) {
             return one.first == 7 && one.second.condition == status::dead;
@@ -96,7 +96,7 @@
     it.net.pause(7, false);
     it.net.run(2s);
     CHECK(it.seen(status::dead, "i7") == 0);
-    CHECK(it.net.missing() == 0);
+    CHECK(it.net.count_unseen_pairs() == 0);
     CHECK(it.seen(status::suspect, "i7") > 0);
 }
 
@@ -119,7 +119,7 @@
         it.changes.clear();
         it.net.split(0);
         it.net.run(10s);
-        CHECK(it.net.missing() == 0);
+        CHECK(it.net.count_unseen_pairs() == 0);
         // Neither side may adopt the other side's records of its own members as dead.
         CHECK(std::none_of(it.changes.begin(), it.changes.end(),
                            [](const auto& one) { return one.second.condition == status::dead; }));
@@ -128,7 +128,7 @@
         it.net.run(11min);
         it.net.split(0);
         it.net.run(30s);
-        CHECK(it.net.missing() == 0);
+        CHECK(it.net.count_unseen_pairs() == 0);
     }
 }
 
--- a/tests/support/virtual_network.h
+++ b/tests/support/virtual_network.h
@@ -55,7 +55,7 @@
         }
     }
     /// Number of pairs of running instances of which the first does not see the second as alive.
-    std::size_t missing() const {
+    std::size_t count_unseen_pairs() const {
         std::size_t count = 0;
         for (const auto& [n, it] : nodes_) {
             for (const auto& [other, ignored] : nodes_) {
