--- a/tests/app/http_client_test.cpp
+++ b/tests/app/http_client_test.cpp
@@ -184,7 +184,7 @@
     SUBCASE("the answer is larger than allowed") {
         raw_server server(context, [](const auto& it, int) {
             it->read_request([it](const std::string&) {
-                it->write_later("HTTP/1.1 200 OK\r\nContent-Length: 2000000\r\n\r\n" +
+                it->write_async("HTTP/1.1 200 OK\r\nContent-Length: 2000000\r\n\r\n" +
                                 std::string(2000000, 'x'));
             });
         });
--- a/tests/support/raw_server.h
+++ b/tests/support/raw_server.h
@@ -32,7 +32,7 @@
             asio::write(socket, asio::buffer(text), ec);
         }
         /// For texts that do not fit into the socket's buffer, since client and server share a thread.
-        void write_later(const std::string& text) {
+        void write_async(const std::string& text) {
             auto copy = std::make_shared<std::string>(text);
             asio::async_write(socket, asio::buffer(*copy), [copy, self = shared_from_this()](auto, auto) {});
         }
