--- a/tests/process/control_disk_test.cpp
+++ b/tests/process/control_disk_test.cpp
@@ -51,8 +51,8 @@
     const auto since = steady_now();
     CHECK(process_cluster::wait_until(
         [&] {
-            const auto log =
-                process_cluster::read(cluster.path("a1.log")) + process_cluster::read(cluster.path("c1.log"));
+            const auto log = process_cluster::read_file(cluster.path("a1.log")) +
+                             process_cluster::read_file(cluster.path("c1.log"));
             return log.find("member=b1 change=2") != std::string::npos &&
                    voters_restored(cluster, {"a1", "b1", "c1"});
         },
--- a/tests/process/control_loss_test.cpp
+++ b/tests/process/control_loss_test.cpp
@@ -68,7 +68,7 @@
 std::string gate_other_than(process_cluster& cluster, const std::string& viewer,
                             const std::vector<std::string>& others) {
     for (const auto& it : cluster.upstreams()) {
-        const auto row = cluster.row(cluster.at(viewer), it.name);
+        const auto row = cluster.upstream_row(cluster.at(viewer), it.name);
         auto gate = row.is_object() ? row.at("gate").get<std::string>() : "";
         if (!gate.empty() && std::find(others.begin(), others.end(), gate) == others.end()) {
             return gate;
@@ -262,7 +262,7 @@
     cluster.upstream_at("u2").process->signal(SIGCONT);
     CHECK(process_cluster::wait_until(
         [&] {
-            const auto row = cluster.row(entry, "u2");
+            const auto row = cluster.upstream_row(entry, "u2");
             return row.is_object() && row.at("shards").get<int>() > 0;
         },
         4s));
--- a/tests/process/request_fault_test.cpp
+++ b/tests/process/request_fault_test.cpp
@@ -34,7 +34,7 @@
 bool declared_lost(process_cluster& cluster, const std::string& upstream) {
     const auto& all = cluster.instances();
     return std::any_of(all.begin(), all.end(), [&](const auto& it) {
-        return process_cluster::read(cluster.path(it.name + ".log"))
+        return process_cluster::read_file(cluster.path(it.name + ".log"))
                    .find("upstream lost upstream=" + upstream + " ") != std::string::npos;
     });
 }
@@ -110,7 +110,7 @@
     std::string paused;
     std::string key;
     for (const auto& it : cluster.upstreams()) {
-        const auto gate = cluster.row(entry, it.name).at("gate").get<std::string>();
+        const auto gate = cluster.upstream_row(entry, it.name).at("gate").get<std::string>();
         if (gate != "a1") {
             paused = gate;
             key = find_key_owned_by(cluster, entry, it.name);
--- a/tests/process/request_ledger_test.cpp
+++ b/tests/process/request_ledger_test.cpp
@@ -207,8 +207,9 @@
         CHECK(again.ran());
     }
     MESSAGE("resends after the restarts: " << answered << " of " << ids.size() << " got the recorded answer");
-    INFO(process_cluster::read(cluster.path("a1.log"))
-         << process_cluster::read(cluster.path("a2.log")) << process_cluster::read(cluster.path("a3.log")));
+    INFO(process_cluster::read_file(cluster.path("a1.log"))
+         << process_cluster::read_file(cluster.path("a2.log"))
+         << process_cluster::read_file(cluster.path("a3.log")));
     CHECK(answered >= 18);
     cluster.judge();
 }
--- a/tests/support/fuzz_driver.h
+++ b/tests/support/fuzz_driver.h
@@ -28,12 +28,12 @@
     }
 
     std::string next() {
-        if (seeds_.empty() || below(8) == 0) {
-            return random_bytes(below(64));
+        if (seeds_.empty() || random_below(8) == 0) {
+            return random_bytes(random_below(64));
         }
         std::string input = pick_seed();
         // Few mutations keep most inputs close to valid, where the deeper checks are reached.
-        for (std::size_t n = below(4) + 1; n > 0; --n) {
+        for (std::size_t n = random_below(4) + 1; n > 0; --n) {
             mutate(input);
         }
         return input;
@@ -44,8 +44,8 @@
 private:
     static constexpr std::size_t max_input_bytes = 4096;
 
-    std::size_t below(std::size_t n) { return n == 0 ? 0 : random_() % n; }
-    const std::string& pick_seed() { return seeds_[below(seeds_.size())]; }
+    std::size_t random_below(std::size_t n) { return n == 0 ? 0 : random_() % n; }
+    const std::string& pick_seed() { return seeds_[random_below(seeds_.size())]; }
 
     std::string random_bytes(std::size_t n) {
         std::string bytes;
@@ -55,37 +55,37 @@
         return bytes;
     }
 
-    std::string piece_of(const std::string& source) {
-        const std::size_t start = below(source.size());
-        return source.substr(start, below(32) + 1);
+    std::string random_slice(const std::string& source) {
+        const std::size_t start = random_below(source.size());
+        return source.substr(start, random_below(32) + 1);
     }
 
     void mutate(std::string& input) {
-        const std::size_t at = below(input.size());
-        switch (below(7)) {
+        const std::size_t at = random_below(input.size());
+        switch (random_below(7)) {
         case 0: // flip a bit
             if (!input.empty()) {
-                input[at] = static_cast<char>(input[at] ^ (1 << below(8)));
+                input[at] = static_cast<char>(input[at] ^ (1 << random_below(8)));
             }
             break;
         case 1:
-            input.insert(at, random_bytes(below(4) + 1));
+            input.insert(at, random_bytes(random_below(4) + 1));
             break;
         case 2:
-            input.erase(at, below(16) + 1);
+            input.erase(at, random_below(16) + 1);
             break;
         case 3:
             input.resize(at);
             break;
         case 4: // splice: a piece of any seed at any place
-            input.insert(at, piece_of(pick_seed()));
+            input.insert(at, random_slice(pick_seed()));
             break;
         case 5:
-            input.replace(at, below(8) + 1,
-                          std::to_string(static_cast<std::int64_t>(random_()) >> below(64)));
+            input.replace(at, random_below(8) + 1,
+                          std::to_string(static_cast<std::int64_t>(random_()) >> random_below(64)));
             break;
         default: // repeat one byte, for nesting and long texts
-            input.insert(at, below(200), input.empty() ? '[' : input[at]);
+            input.insert(at, random_below(200), input.empty() ? '[' : input[at]);
             break;
         }
         input.resize(std::min(input.size(), max_input_bytes));
--- a/tests/support/process_cluster.h
+++ b/tests/support/process_cluster.h
@@ -28,11 +28,11 @@
 /// thread that started it.
 class child_process {
 public:
-    child_process(std::vector<std::string> words, const std::string& log) {
-        words.insert(words.begin(), KINGCUPSEAM_BINARY);
+    child_process(std::vector<std::string> arguments, const std::string& log) {
+        arguments.insert(arguments.begin(), KINGCUPSEAM_BINARY);
         std::vector<char*> argv;
-        argv.reserve(words.size() + 1);
-        for (auto& it : words) {
+        argv.reserve(arguments.size() + 1);
+        for (auto& it : arguments) {
             argv.push_back(it.data());
         }
         argv.push_back(nullptr);
@@ -189,7 +189,7 @@
                 it.name = letter + std::to_string(n + 1);
                 it.data_center = "dc-" + letter;
                 it.ip = "127.0." + host + "." + std::to_string(dc + 1);
-                it.port = free_ports(it.ip, 5);
+                it.port = find_free_ports(it.ip, 5);
                 it.durable = options_.durable.empty() ? n == 0 : contains(options_.durable, it.name);
                 instances_.push_back(std::move(it));
             }
@@ -206,7 +206,7 @@
             it.name = "u" + std::to_string(n + 1);
             it.data_center = std::string("dc-") + static_cast<char>('a' + dc);
             const auto ip = "127.0." + host + "." + std::to_string(dc + 1);
-            it.address = ip + ":" + std::to_string(free_ports(ip, 1));
+            it.address = ip + ":" + std::to_string(find_free_ports(ip, 1));
             it.seed = n + 1;
             upstreams_.push_back(std::move(it));
         }
@@ -227,7 +227,7 @@
         const bool owned = wait_until([&] { return all_owned(); }, end - steady_now());
         std::string seen;
         for (const auto& it : instances_) {
-            seen += owned ? "" : status(it).dump() + "\n" + read(path(it.name + ".log"));
+            seen += owned ? "" : status(it).dump() + "\n" + read_file(path(it.name + ".log"));
         }
         INFO(seen);
         REQUIRE(owned);
@@ -244,25 +244,25 @@
                 announce_to.append(announce_to.empty() ? "" : ",").append(host.upstream());
             }
         }
-        std::vector<std::string> words{"stand-in",
-                                       "--name",
-                                       it.name,
-                                       "--service",
-                                       service(),
-                                       "--listen",
-                                       it.address,
-                                       "--instance",
-                                       announce_to,
-                                       "--slots",
-                                       std::to_string(options_.slots),
-                                       "--service-time",
-                                       std::to_string(options_.service_time_ms),
-                                       "--seed",
-                                       std::to_string(it.seed),
-                                       "--record",
-                                       record_of(it)};
-        words.insert(words.end(), options_.upstream_options.begin(), options_.upstream_options.end());
-        it.process = std::make_unique<child_process>(words, path(it.name + ".log"));
+        std::vector<std::string> arguments{"stand-in",
+                                           "--name",
+                                           it.name,
+                                           "--service",
+                                           service(),
+                                           "--listen",
+                                           it.address,
+                                           "--instance",
+                                           announce_to,
+                                           "--slots",
+                                           std::to_string(options_.slots),
+                                           "--service-time",
+                                           std::to_string(options_.service_time_ms),
+                                           "--seed",
+                                           std::to_string(it.seed),
+                                           "--record",
+                                           record_of(it)};
+        arguments.insert(arguments.end(), options_.upstream_options.begin(), options_.upstream_options.end());
+        it.process = std::make_unique<child_process>(arguments, path(it.name + ".log"));
     }
     void restart(instance& it, bool lose_disk = false) {
         it.process.reset();
@@ -272,8 +272,8 @@
         start(it);
     }
     /// Another command of the binary, for example `load`; its output goes to the file NAME.log.
-    std::unique_ptr<child_process> run(const std::string& name, const std::vector<std::string>& words) {
-        return std::make_unique<child_process>(words, path(name + ".log"));
+    std::unique_ptr<child_process> run(const std::string& name, const std::vector<std::string>& arguments) {
+        return std::make_unique<child_process>(arguments, path(name + ".log"));
     }
     /// A load on the callers' listeners of all instances, or of those named.
     std::unique_ptr<child_process> start_load(double rate, double seconds,
@@ -286,21 +286,21 @@
             }
         }
         std::filesystem::remove(path("load.log"));
-        std::vector<std::string> words{"load",
-                                       "--address",
-                                       addresses,
-                                       "--firm",
-                                       options_.profile,
-                                       "--rate",
-                                       std::to_string(rate),
-                                       "--duration",
-                                       std::to_string(seconds),
-                                       "--json"};
-        words.insert(words.end(), more.begin(), more.end());
-        return run("load", words);
+        std::vector<std::string> arguments{"load",
+                                           "--address",
+                                           addresses,
+                                           "--firm",
+                                           options_.profile,
+                                           "--rate",
+                                           std::to_string(rate),
+                                           "--duration",
+                                           std::to_string(seconds),
+                                           "--json"};
+        arguments.insert(arguments.end(), more.begin(), more.end());
+        return run("load", arguments);
     }
     /// Report of the load that was started last and has ended.
-    nlohmann::json load_report() { return nlohmann::json::parse(read(path("load.log"))); }
+    nlohmann::json load_report() { return nlohmann::json::parse(read_file(path("load.log"))); }
 
     // -- requests
 
@@ -337,7 +337,7 @@
         return found.status == 200 ? found.json().at("version").get<std::uint64_t>() : 0;
     }
     std::string profile_text() const {
-        return read(std::string(KINGCUPSEAM_SOURCE_DIR) + "/profiles/" + options_.profile + ".toml");
+        return read_file(std::string(KINGCUPSEAM_SOURCE_DIR) + "/profiles/" + options_.profile + ".toml");
     }
     void accept_profile(duration limit) {
         const auto end = steady_now() + limit;
@@ -360,13 +360,13 @@
     /// True when every running instance is ready and sees an owner for every shard of its own data centre.
     bool all_owned() {
         for (const auto& it : instances_) {
-            if (it.process && it.process->running() && !owned(it)) {
+            if (it.process && it.process->running() && !sees_owners(it)) {
                 return false;
             }
         }
         return true;
     }
-    bool owned(const instance& it) {
+    bool sees_owners(const instance& it) {
         const auto found = status(it);
         if (!found.is_object() || !found.at("ready").get<bool>()) {
             return false;
@@ -396,7 +396,7 @@
         }
     }
     /// Row of the upstream in the view of the instance; null when there is none.
-    nlohmann::json row(const instance& viewer, const std::string& upstream_name) {
+    nlohmann::json upstream_row(const instance& viewer, const std::string& upstream_name) {
         const auto found = status(viewer);
         if (found.is_object()) {
             for (const auto& table : found.at("data_centers")) {
@@ -414,7 +414,7 @@
         std::filesystem::remove(path("judge.log"));
         const auto it = run("judge", {"load", "--judge", records(), "--json"});
         REQUIRE(it->wait(std::chrono::seconds(20)));
-        auto found = nlohmann::json::parse(read(path("judge.log"))).at("records");
+        auto found = nlohmann::json::parse(read_file(path("judge.log"))).at("records");
         CAPTURE(found.dump(1));
         CHECK(found.at("double_runs") == 0);
         CHECK(found.at("double_owners") == 0);
@@ -448,7 +448,7 @@
     std::string records() const { return path("records"); }
     std::string record_of(const upstream& it) const { return records() + "/" + it.name; }
     std::string service() const { return options_.profile == "navalsig" ? "registry" : "records"; }
-    static std::string read(const std::string& file) {
+    static std::string read_file(const std::string& file) {
         const std::ifstream in(file, std::ios::binary);
         std::ostringstream out;
         out << in.rdbuf();
@@ -462,20 +462,20 @@
 
     /// First of @p count consecutive ports that nothing listened on a moment ago. They lie below the range
     /// from which the system takes the ports of outgoing connections.
-    static std::uint16_t free_ports(const std::string& ip, int count) {
+    static std::uint16_t find_free_ports(const std::string& ip, int count) {
         static std::mt19937 random(static_cast<std::mt19937::result_type>(::getpid()));
         static std::uint16_t next = static_cast<std::uint16_t>(12000 + random() % 16000);
         for (int attempt = 0; attempt < 1000; ++attempt) {
             const auto first = next;
             next = static_cast<std::uint16_t>(next + count > 32000 ? 12000 : next + count);
-            if (all_free(ip, first, count)) {
+            if (are_ports_free(ip, first, count)) {
                 return first;
             }
         }
         FAIL("no free ports");
         return 0;
     }
-    static bool all_free(const std::string& ip, std::uint16_t first, int count) {
+    static bool are_ports_free(const std::string& ip, std::uint16_t first, int count) {
         asio::io_context context;
         for (int n = 0; n < count; ++n) {
             asio::error_code ec;
--- a/tests/support/raw_server.h
+++ b/tests/support/raw_server.h
@@ -18,12 +18,12 @@
         explicit connection(asio::ip::tcp::socket accepted) : socket(std::move(accepted)) {}
 
         /// Reads one request with its body and passes it on; ends silently when the client closes.
-        void read_request(std::function<void(std::string)> then) {
+        void read_request(std::function<void(std::string)> handler) {
             auto self = shared_from_this();
             asio::async_read_until(socket, asio::dynamic_buffer(received), "\r\n\r\n",
-                                   [self, then = std::move(then)](auto ec, std::size_t head) {
+                                   [self, handler = std::move(handler)](auto ec, std::size_t head) {
                                        if (!ec) {
-                                           self->read_body(head, then);
+                                           self->read_body(head, handler);
                                        }
                                    });
         }
@@ -51,26 +51,26 @@
         std::string received;
 
     private:
-        void read_body(std::size_t head, const std::function<void(std::string)>& then) {
+        void read_body(std::size_t head, const std::function<void(std::string)>& handler) {
             const auto at = received.find("Content-Length: ");
             const std::size_t length = at < head ? std::stoul(received.substr(at + 16)) : 0;
             const std::size_t missing = head + length > received.size() ? head + length - received.size() : 0;
             auto self = shared_from_this();
             asio::async_read(socket, asio::dynamic_buffer(received), asio::transfer_exactly(missing),
-                             [self, then, total = head + length](auto ec, std::size_t) {
+                             [self, handler, total = head + length](auto ec, std::size_t) {
                                  if (!ec) {
                                      std::string request = self->received.substr(0, total);
                                      self->received.erase(0, total);
-                                     then(std::move(request));
+                                     handler(std::move(request));
                                  }
                              });
         }
     };
     using connection_ptr = std::shared_ptr<connection>;
     /// @p number counts the accepted connections from 1.
-    using behaviour = std::function<void(connection_ptr, int number)>;
+    using connect_handler = std::function<void(connection_ptr, int number)>;
 
-    raw_server(asio::io_context& context, behaviour on_connect)
+    raw_server(asio::io_context& context, connect_handler on_connect)
         : acceptor_(context, {asio::ip::make_address("127.0.0.1"), 0}), on_connect_(std::move(on_connect)) {
         accept();
     }
@@ -86,16 +86,16 @@
     void accept() {
         acceptor_.async_accept([this](auto ec, asio::ip::tcp::socket socket) {
             if (!ec) {
-                held_.push_back(std::make_shared<connection>(std::move(socket)));
-                on_connect_(held_.back(), ++accepted_);
+                connections_.push_back(std::make_shared<connection>(std::move(socket)));
+                on_connect_(connections_.back(), ++accepted_);
                 accept();
             }
         });
     }
 
     asio::ip::tcp::acceptor acceptor_;
-    behaviour on_connect_;
-    std::vector<connection_ptr> held_; ///< a silent connection must stay open
+    connect_handler on_connect_;
+    std::vector<connection_ptr> connections_; ///< a silent connection must stay open
     int accepted_ = 0;
 };
 
--- a/tests/support/virtual_network.h
+++ b/tests/support/virtual_network.h
@@ -12,14 +12,14 @@
 /// Detectors that exchange datagrams in virtual time, with delay, loss and partitions.
 class virtual_network {
 public:
-    using delivered = std::function<void(const membership::outgoing&)>;
-    using observed = std::function<void(std::size_t, const membership::record&)>;
+    using send_observer = std::function<void(const membership::outgoing&)>;
+    using change_observer = std::function<void(std::size_t, const membership::record&)>;
 
     explicit virtual_network(std::uint64_t seed, double loss) : random_(seed), loss_(loss) {}
 
     membership::options settings;
-    delivered on_send = [](const auto&) {};
-    observed on_change = [](auto, const auto&) {};
+    send_observer on_send = [](const auto&) {};
+    change_observer on_change = [](auto, const auto&) {};
 
     static endpoint_address address_of(std::size_t n) {
         return {"10.0." + std::to_string(n / 250) + "." + std::to_string(n % 250 + 1), 7000};
@@ -35,7 +35,7 @@
     void stop(std::size_t n) { nodes_.erase(n); }
     void pause(std::size_t n, bool paused) { nodes_.at(n).paused = paused; }
     void leave(std::size_t n) {
-        act(n, nodes_.at(n).detector.leave(now_));
+        apply_effects(n, nodes_.at(n).detector.leave(now_));
         stop(n);
     }
     /// Instances below @p n reach only each other; 0 heals.
@@ -49,7 +49,7 @@
             deliver();
             for (auto& [n, it] : nodes_) {
                 if (!it.paused) {
-                    act(n, it.detector.tick(now_));
+                    apply_effects(n, it.detector.tick(now_));
                 }
             }
         }
@@ -76,7 +76,7 @@
     };
     static constexpr duration step = std::chrono::milliseconds(1);
 
-    void act(std::size_t n, const membership::effects& done) {
+    void apply_effects(std::size_t n, const membership::effects& done) {
         for (const auto& it : done.messages) {
             on_send(it);
             if (std::uniform_real_distribution<>(0, 1)(random_) >= loss_) {
@@ -90,16 +90,17 @@
     }
     void deliver() {
         while (!in_flight_.empty() && in_flight_.begin()->first <= now_) {
-            const auto one = in_flight_.begin()->second;
+            const auto arrived = in_flight_.begin()->second;
             in_flight_.erase(in_flight_.begin());
-            const auto to = by_address_.find(to_string(one.content.to));
+            const auto to = by_address_.find(to_string(arrived.content.to));
             if (to == by_address_.end() || nodes_.count(to->second) == 0 ||
-                (split_ > 0 && (one.from < split_) != (to->second < split_)) ||
+                (split_ > 0 && (arrived.from < split_) != (to->second < split_)) ||
                 nodes_.at(to->second).paused) {
                 continue;
             }
-            act(to->second,
-                nodes_.at(to->second).detector.receive(one.content.body, address_of(one.from), now_));
+            apply_effects(
+                to->second,
+                nodes_.at(to->second).detector.receive(arrived.content.body, address_of(arrived.from), now_));
         }
     }
 
