--- a/tests/process/control_loss_test.cpp
+++ b/tests/process/control_loss_test.cpp
@@ -336,7 +336,8 @@
     auto& leaving = cluster.upstream_at("u3");
     // A joining upstream gets its shards in steps, so its first request may arrive late.
     REQUIRE(process_cluster::wait_until([&] { return count_recorded_runs(cluster, leaving) > 0; }, 1s));
-    // Until its drain limit passes the upstream runs on while it is busy, so it would record late requests.
+    // The stand-in exits once it is idle without a granted key, or when its drain limit passes. Until then it
+    // records late requests.
     leaving.process->signal(SIGTERM);
     ::usleep(2000000);
     const auto runs_after_2s = count_recorded_runs(cluster, leaving);
