--- a/tests/support/process_cluster.h
+++ b/tests/support/process_cluster.h
@@ -24,8 +24,8 @@
 
 namespace kingcupseam::test {
 
-/// A process of the binary under test, with its output in a log file. It ends with this object, and with the
-/// thread that started it.
+/// A process of the binary under test that writes its output to a log file. It is killed when this object is
+/// destroyed or the thread that started it ends.
 class child_process {
 public:
     child_process(std::vector<std::string> arguments, const std::string& log) {
@@ -40,7 +40,7 @@
         pid_ = ::fork();
         REQUIRE(pid_ >= 0);
         if (pid_ == 0) {
-            // A test run that is killed leaves no processes behind.
+            // The child is killed when the test run is killed.
             ::prctl(PR_SET_PDEATHSIG, SIGKILL);
             const int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
             const int in = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
@@ -93,13 +93,13 @@
 };
 
 struct cluster_options {
-    std::vector<std::size_t> data_centers = {3}; ///< number of instances of each; named a1, a2, …, b1, …
+    std::vector<std::size_t> data_centers = {3}; ///< instances per data centre; named a1, a2, …, b1, …
     std::vector<std::string> durable;       ///< instances with a disk; default: the first of each data centre
-    std::vector<std::string> global_voters; ///< initial voters; default: all of `durable`
-    std::size_t upstreams = 4;              ///< of the first service of the profile, spread over data centres
+    std::vector<std::string> global_voters; ///< initial voters of the global group; default: all of `durable`
+    std::size_t upstreams = 4; ///< stand-ins for the profile's first service, spread over data centres
     double service_time_ms = 5;
     std::uint32_t slots = 4;
-    std::vector<std::string> upstream_options; ///< further words for every stand-in
+    std::vector<std::string> upstream_options; ///< further arguments for every stand-in
     std::string extra_settings;                ///< lines at the top of every settings file
     std::string profile = "navalsig";
 };
@@ -117,7 +117,7 @@
         }
         return {};
     }
-    /// A complete answer of an upstream.
+    /// True for a complete answer of an upstream.
     bool ran() const { return status >= 200 && status < 300 && header("kingcupseam-outcome") == "ran"; }
     nlohmann::json json() const { return nlohmann::json::parse(body, nullptr, false); }
 };
@@ -153,7 +153,7 @@
     app::http_client client_{context_, {}};
 };
 
-/// Instances and stand-in upstreams as real processes on loopback, with addresses and a folder of their own.
+/// Instances and stand-in upstreams as processes on loopback, with addresses and a folder of their own.
 class process_cluster {
 public:
     static constexpr auto token = "process-test-token";
@@ -212,9 +212,9 @@
         }
     }
 
-    // -- life of the processes
+    // -- start and restart of processes
 
-    /// Starts everything, accepts the profile and waits until every shard has an owner in every view.
+    /// Starts everything, accepts the profile and waits until every instance sees an owner for every shard.
     void start(duration limit = std::chrono::seconds(15)) {
         const auto end = steady_now() + limit;
         for (auto& it : instances_) {
@@ -271,11 +271,11 @@
         }
         start(it);
     }
-    /// Another command of the binary, for example `load`; its output goes to the file NAME.log.
+    /// Starts another command of the binary, for example `load`; its output goes to the file @p name.log.
     std::unique_ptr<child_process> run(const std::string& name, const std::vector<std::string>& arguments) {
         return std::make_unique<child_process>(arguments, path(name + ".log"));
     }
-    /// A load on the callers' listeners of all instances, or of those named.
+    /// Starts a load on the caller listeners of all instances, or of those in @p names.
     std::unique_ptr<child_process> start_load(double rate, double seconds,
                                               const std::vector<std::string>& more = {},
                                               const std::vector<std::string>& names = {}) {
@@ -299,7 +299,7 @@
         arguments.insert(arguments.end(), more.begin(), more.end());
         return run("load", arguments);
     }
-    /// Report of the load that was started last and has ended.
+    /// Report of the last load; it must have ended.
     nlohmann::json load_report() { return nlohmann::json::parse(read_file(path("load.log"))); }
 
     // -- requests
@@ -313,7 +313,7 @@
                   duration timeout = std::chrono::milliseconds(300)) {
         return http_.send("GET", entry.caller(), "/registry/rafts/" + key + "/history", {}, {}, timeout);
     }
-    /// At most once.
+    /// Sends an at-most-once request with @p id as idempotency key.
     answer book(const instance& entry, const std::string& key, const std::string& id,
                 duration timeout = std::chrono::milliseconds(1500)) {
         return http_.send("POST", entry.caller(), "/registry/rafts/" + key + "/bookings", "body",
@@ -382,7 +382,7 @@
         }
         return rows > 0;
     }
-    /// Repeats the check every 20 ms. @returns false when it did not hold within the limit
+    /// Polls @p check every 20 ms. @returns false when it did not hold within @p limit
     static bool wait_until(const std::function<bool()>& check, duration limit) {
         const auto end = steady_now() + limit;
         for (;;) {
@@ -409,7 +409,7 @@
         }
         return {};
     }
-    /// Judges the records of all stand-ins: no double run, no double owner, no run without a grant.
+    /// Checks the records of all stand-ins: no double run, no double owner, no run without a grant.
     nlohmann::json judge() {
         std::filesystem::remove(path("judge.log"));
         const auto it = run("judge", {"load", "--judge", records(), "--json"});
@@ -422,7 +422,7 @@
         return found;
     }
 
-    // -- parts
+    // -- processes and files
 
     std::vector<instance>& instances() { return instances_; }
     std::vector<upstream>& upstreams() { return upstreams_; }
@@ -460,8 +460,8 @@
         return std::find(names.begin(), names.end(), name) != names.end();
     }
 
-    /// First of @p count consecutive ports that nothing listened on a moment ago. They lie below the range
-    /// from which the system takes the ports of outgoing connections.
+    /// First of @p count consecutive ports that are unused at the time of the call. They lie below the range
+    /// of ephemeral ports, which outgoing connections use.
     static std::uint16_t find_free_ports(const std::string& ip, int count) {
         static std::mt19937 random(static_cast<std::mt19937::result_type>(::getpid()));
         static std::uint16_t next = static_cast<std::uint16_t>(12000 + random() % 16000);
