--- a/tests/support/free_port.h
+++ b/tests/support/free_port.h
@@ -6,7 +6,7 @@
 
 namespace kingcupseam::test {
 
-/// A port of 127.0.0.1 that nothing listened on a moment ago.
+/// A TCP port of 127.0.0.1 that is unused at the time of the call; another process may take it afterwards.
 inline std::uint16_t free_port() {
     asio::io_context context;
     asio::ip::tcp::acceptor acceptor(context, {asio::ip::make_address("127.0.0.1"), 0});
--- a/tests/support/fuzz_driver.h
+++ b/tests/support/fuzz_driver.h
@@ -11,7 +11,7 @@
 
 namespace kingcupseam::test {
 
-/// Deterministic inputs for a fuzz target in the ordinary build: mutations of the files of
+/// Generates reproducible inputs for a fuzz target in a build without a fuzzer: mutations of the files in
 /// fuzz/corpus/<target>/ and random bytes.
 class input_generator {
 public:
@@ -32,7 +32,7 @@
             return random_bytes(random_below(64));
         }
         std::string input = pick_seed();
-        // Few mutations keep most inputs close to valid, where the deeper checks are reached.
+        // A few mutations keep most inputs nearly valid, so that they reach the later checks.
         for (std::size_t n = random_below(4) + 1; n > 0; --n) {
             mutate(input);
         }
@@ -77,14 +77,14 @@
         case 3:
             input.resize(at);
             break;
-        case 4: // splice: a piece of any seed at any place
+        case 4: // insert a slice of a seed at a random position
             input.insert(at, random_slice(pick_seed()));
             break;
         case 5:
             input.replace(at, random_below(8) + 1,
                           std::to_string(static_cast<std::int64_t>(random_()) >> random_below(64)));
             break;
-        default: // repeat one byte, for nesting and long texts
+        default: // repeat one byte, for deep nesting and long texts
             input.insert(at, random_below(200), input.empty() ? '[' : input[at]);
             break;
         }
--- a/tests/support/raw_server.h
+++ b/tests/support/raw_server.h
@@ -11,13 +11,14 @@
 
 namespace kingcupseam::test {
 
-/// TCP server on loopback whose connections do exactly what a test says, to produce faults of a peer.
+/// TCP server on loopback whose connections are scripted by a test, to simulate faults of a peer.
 class raw_server {
 public:
     struct connection : std::enable_shared_from_this<connection> {
         explicit connection(asio::ip::tcp::socket accepted) : socket(std::move(accepted)) {}
 
-        /// Reads one request with its body and passes it on; ends silently when the client closes.
+        /// Reads one request with its body and passes it to @p handler, which isn't called when the client
+        /// closes.
         void read_request(std::function<void(std::string)> handler) {
             auto self = shared_from_this();
             asio::async_read_until(socket, asio::dynamic_buffer(received), "\r\n\r\n",
@@ -31,7 +32,8 @@
             asio::error_code ec;
             asio::write(socket, asio::buffer(text), ec);
         }
-        /// For texts that do not fit into the socket's buffer, since client and server share a thread.
+        /// Writes without blocking. For texts that exceed the socket's buffer, because client and server
+        /// share a thread.
         void write_async(const std::string& text) {
             auto copy = std::make_shared<std::string>(text);
             asio::async_write(socket, asio::buffer(*copy), [copy, self = shared_from_this()](auto, auto) {});
@@ -95,7 +97,7 @@
 
     asio::ip::tcp::acceptor acceptor_;
     connect_handler on_connect_;
-    std::vector<connection_ptr> connections_; ///< a silent connection must stay open
+    std::vector<connection_ptr> connections_; ///< keeps connections open that the test doesn't use
     int accepted_ = 0;
 };
 
--- a/tests/support/scenario.h
+++ b/tests/support/scenario.h
@@ -26,13 +26,13 @@
     }
 };
 
-/// A scripted scenario: tests/scenarios/<library>_<name>.toml with
-/// name, guards (the failure it guards against), seed and [[step]] tables that have a "do" key.
+/// A scenario of tests/scenarios/<library>_<name>.toml, which has the keys name, guards (the failure that it
+/// guards against) and seed, and [[step]] tables with a "do" key.
 struct scenario {
     std::string name;
     std::string guards;
     std::uint64_t seed = 1;
-    std::vector<std::uint64_t> more_seeds; ///< with which the scenario once failed
+    std::vector<std::uint64_t> more_seeds; ///< seeds with which the scenario has failed before
     toml::value setup;
     std::vector<scenario_step> steps;
 };
@@ -51,7 +51,7 @@
     return result;
 }
 
-/// All scenarios of one library, in the order of their file names.
+/// Files of all scenarios of one library, sorted by name.
 inline std::vector<std::filesystem::path> scenarios_of(const std::string& library) {
     std::vector<std::filesystem::path> files;
     for (const auto& it : std::filesystem::directory_iterator(KINGCUPSEAM_SOURCE_DIR "/tests/scenarios")) {
--- a/tests/support/temporary_folder.h
+++ b/tests/support/temporary_folder.h
@@ -7,7 +7,7 @@
 
 namespace kingcupseam::test {
 
-/// A folder of its own for a test; removed at the end.
+/// A new folder for a test, removed on destruction.
 class temporary_folder {
 public:
     temporary_folder() {
--- a/tests/support/virtual_network.h
+++ b/tests/support/virtual_network.h
@@ -9,7 +9,7 @@
 
 namespace kingcupseam::test {
 
-/// Detectors that exchange datagrams in virtual time, with delay, loss and partitions.
+/// Simulated network of detectors that exchange datagrams in virtual time, with delay, loss and partitions.
 class virtual_network {
 public:
     using send_observer = std::function<void(const membership::outgoing&)>;
@@ -38,7 +38,7 @@
         apply_effects(n, nodes_.at(n).detector.leave(now_));
         stop(n);
     }
-    /// Instances below @p n reach only each other; 0 heals.
+    /// Separates the instances below @p n from the others; 0 ends the partition.
     void split(std::size_t n) { split_ = n; }
     time_point now() const { return now_; }
     const membership::detector& at(std::size_t n) const { return nodes_.at(n).detector; }
@@ -54,7 +54,7 @@
             }
         }
     }
-    /// Number of pairs of running instances of which the first does not see the second as alive.
+    /// Number of ordered pairs of running instances in which the first does not see the second as alive.
     std::size_t count_unseen_pairs() const {
         std::size_t count = 0;
         for (const auto& [n, it] : nodes_) {
