--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -1,12 +1,12 @@
 """Measures the control traffic, the processor time of the control thread and the memory of each instance, idle and
-under load, at several sizes, and fits slopes."""
+under load, for several numbers of instances, and fits a line over that number."""
 
 import re
 import time
 
 import measure_common as common
 
-# Instances per data centre, upstreams of the first service.
+# Instances in each of the three data centres.
 SIZES = ((1, 1, 1), (3, 2, 2), (4, 3, 3), (6, 5, 5), (10, 10, 10))
 METRIC = re.compile(r"^(kingcupseam_\w+)(?:\{(.*)\})? ([0-9.e+-]+)$", re.M)
 LIMIT_BYTES = 2000
@@ -14,26 +14,26 @@
 
 
 def add_options(parser):
-    parser.add_argument("--seconds", type=float, default=10, help="duration of one window")
+    parser.add_argument("--seconds", type=float, default=10, help="duration of one measurement")
     parser.add_argument("--sizes", default=";".join(",".join(map(str, it)) for it in SIZES))
     parser.add_argument("--upstreams-per-instance", type=int, default=3)
     parser.add_argument("--rate-per-instance", type=int, default=30, help="requests/s under load")
 
 
-def sample(running, it):
+def read_metrics(running, it):
     result = {}
     for name, tags, value in METRIC.findall(running.call(it.operator, "/metrics")):
         result[name, tags] = float(value)
     return result
 
 
-def total(values, name, *tags):
+def sum_metric(values, name, *tags):
     return sum(value for (key, key_tags), value in values.items()
                if key == name and all(it in key_tags for it in tags))
 
 
-def roles(running):
-    """Role of each instance: leader of the data centre's group, then durable voter, voter, other."""
+def instance_roles(running):
+    """Returns the role of each instance in its data centre's group: leader, durable voter, voter or other."""
     result = {}
     for it in running.instances:
         group = running.status(it).get("data_center_group") or {"leads": False, "voters": []}
@@ -46,17 +46,18 @@
     return result
 
 
-def window(running, seconds):
-    """Per instance: sent and received bytes/s, heartbeats included, frames/s without them, cores, resident bytes."""
-    before = {it.name: sample(running, it) for it in running.instances}
+def measure_traffic(running, seconds):
+    """Returns per instance: bytes/s sent and received, heartbeats included; frames/s without heartbeats; cores in use;
+    resident bytes."""
+    before = {it.name: read_metrics(running, it) for it in running.instances}
     cpu_before = {it.name: common.processor_seconds(it.process.pid) for it in running.instances}
-    began = time.monotonic()
+    started = time.monotonic()
     time.sleep(seconds)
-    took = time.monotonic() - began
+    elapsed = time.monotonic() - started
     result = {}
     for it in running.instances:
-        a, b = before[it.name], sample(running, it)
-        rate = lambda name, *tags, a=a, b=b: (total(b, name, *tags) - total(a, name, *tags)) / took
+        a, b = before[it.name], read_metrics(running, it)
+        rate = lambda name, *tags, a=a, b=b: (sum_metric(b, name, *tags) - sum_metric(a, name, *tags)) / elapsed
         frames = rate("kingcupseam_control_frames_received_total")
         frame_bytes = rate("kingcupseam_control_frame_bytes_received_total")
         received = rate("kingcupseam_control_bytes", 'direction="received"')
@@ -68,15 +69,15 @@
             "frames": frames, "frame_bytes": frame_bytes,
             "datagrams": rate("kingcupseam_control_datagrams_received_total"),
             "control_core": rate("kingcupseam_control_processor_microseconds") / 1e6,
-            "process_core": (common.processor_seconds(it.process.pid) - cpu_before[it.name]) / took,
-            "resident": total(b, "kingcupseam_resident_bytes"),
-            "types": {tags: (value - a.get((name, tags), 0)) / took for (name, tags), value in b.items()
+            "process_core": (common.processor_seconds(it.process.pid) - cpu_before[it.name]) / elapsed,
+            "resident": sum_metric(b, "kingcupseam_resident_bytes"),
+            "types": {tags: (value - a.get((name, tags), 0)) / elapsed for (name, tags), value in b.items()
                       if name == "kingcupseam_control_frame_bytes_received_total"},
         }
     return result
 
 
-def rows_of(size, upstreams, state, role_of, measured):
+def format_rows(size, upstreams, state, role_of, measured):
     for role in sorted(set(role_of.values())):
         members = [measured[name] for name, it in role_of.items() if it == role]
         mean = lambda key, members=members: sum(it[key] for it in members) / len(members)
@@ -86,13 +87,13 @@
                f"{mean('resident') / 1e6:.1f}", f"{common.load_average():.0f}"]
 
 
-def slope(points):
-    """Least squares line: returns (value at 0, increase per unit)."""
+def fit_line(points):
+    """Fits a line by least squares; returns (value at 0, increase per unit)."""
     n = len(points)
     mx = sum(x for x, _ in points) / n
     my = sum(y for _, y in points) / n
-    rise = sum((x - mx) * (y - my) for x, y in points) / sum((x - mx) ** 2 for x, _ in points)
-    return my - rise * mx, rise
+    slope = sum((x - mx) * (y - my) for x, y in points) / sum((x - mx) ** 2 for x, _ in points)
+    return my - slope * mx, slope
 
 
 def run(options):
@@ -105,17 +106,17 @@
         services = (("registry", upstreams - second, 2, 120), ("repack", second, 2, 120))
         with common.started_cluster(network=3, firm="navalsig", per_data_center=size, services=services) as running:
             time.sleep(3)
-            role_of = roles(running)
+            role_of = instance_roles(running)
             for state in ("idle", "loaded"):
                 load = None
                 if state == "loaded":
                     load = common.start_load(running, "--rate", options.rate_per_instance * instances, "--duration",
                                              options.seconds + 4)
                     time.sleep(2)
-                measured = window(running, options.seconds)
+                measured = measure_traffic(running, options.seconds)
                 if load:
                     common.finish_load(load, 60)
-                rows += rows_of(instances, upstreams, state, role_of, measured)
+                rows += format_rows(instances, upstreams, state, role_of, measured)
                 merged = {}
                 for it in measured.values():
                     for tags, value in it["types"].items():
@@ -134,9 +135,9 @@
                         "control thread", "process", "resident MB", "load average"], rows)
     common.print_table(["instances", "state", "mean bytes/s received per instance, by frame type"], types)
     fits = []
-    for (state, role, key), its in points.items():
-        base, rise = slope(its)
-        fits.append([state, role, key, f"{base:.4g}", f"{rise:.4g}"])
+    for (state, role, key), values in points.items():
+        base, slope = fit_line(values)
+        fits.append([state, role, key, f"{base:.4g}", f"{slope:.4g}"])
     common.print_table(["state", "role", "quantity", "at 0 instances", "per instance of the system"], fits)
     over = [row for row in rows if int(row[5]) + int(row[6]) > LIMIT_BYTES or float(row[11][:-1]) > 100 * LIMIT_CORE]
     print(f"{len(over)} of {len(rows)} rows exceed {LIMIT_BYTES} B/s sent and received or {LIMIT_CORE:.1%} of a core")
