--- a/tools/measure_routing.py
+++ b/tools/measure_routing.py
@@ -1,5 +1,5 @@
-"""Compares the gate with direct dispatch: the same load and seeds on both, at 80% and 160% of capacity, with a flood of
-the urgent rank, and the time that the added hop costs at low load."""
+"""Compares routing through gates with direct dispatch, with the same load and seeds: at 80% and 160% of capacity, and
+with a flood of urgent requests. Also measures the latency that the added hop costs at low load."""
 
 import statistics
 import time
@@ -7,12 +7,11 @@
 import cluster
 import measure_common as common
 
-# Times that keep the rates low enough for the machine not to be what limits the load, and well below the deadline of
-# 250 ms of urgent work.
+# Long enough that the upstreams, not the machine, limit the load; well below the 250 ms deadline of urgent requests.
 SERVICE_TIME_MS = {"navalsig": 50, "cairnmark": 100}
-LONGEST_DEADLINE_S = 3  # deferrable work in both profiles
+LONGEST_DEADLINE_S = 3  # of deferrable requests in both profiles
 RANKS = ("urgent", "standard", "deferrable")
-# Two-sided 95% quantiles of Student's t distribution, by the number of repetitions.
+# By number of repetitions: the quantile of Student's t distribution for a two-sided 95% interval.
 STUDENT_T = {2: 12.706, 3: 4.303, 4: 3.182, 5: 2.776, 6: 2.571, 7: 2.447, 8: 2.365}
 
 
@@ -31,9 +30,9 @@
     return [count * slots * 1000 / SERVICE_TIME_MS[firm] for _, count, slots, _ in cluster.FIRMS[firm]["services"]]
 
 
-def loads(firm):
-    """Rates per rank. Urgent and standard work share the first service, with 4 : 3 of 7 parts as in a mix of 40:30:30;
-    deferrable work has the second one to itself."""
+def rates_by_load(firm):
+    """Returns the rate of each rank for each load. Urgent and standard requests share the first service 4 : 3, as in a
+    mix of 40:30:30; the second service gets only deferrable requests."""
     first, second = capacities(firm)
     result = {f"{round(level * 100)}%": (level * first * 4 / 7, level * first * 3 / 7, level * second)
               for level in (0.8, 1.6)}
@@ -42,16 +41,16 @@
 
 
 def measure_load(running, rates, seed, options):
-    words = []
+    arguments = []
     for rank, rate in zip(RANKS, rates):
-        words += ["--rank-rate", f"{rank}:{rate:.1f}"]
+        arguments += ["--rank-rate", f"{rank}:{rate:.1f}"]
     use = common.ProcessorUse(common.instance_processes(running))
-    load = common.start_load(running, *words, "--duration", options.seconds, "--warmup", options.warmup,
+    load = common.start_load(running, *arguments, "--duration", options.seconds, "--warmup", options.warmup,
                              "--seed", seed)
     time.sleep(options.seconds)
     use.stop()
     time.sleep(LONGEST_DEADLINE_S + 0.5)
-    # After an overload the load generator ends only when its idle connections are closed, so the instances stop here.
+    # After an overload the load generator exits only when its idle connections are closed: stop the instances first.
     running.stop()
     return common.finish_load(load, 60), use
 
@@ -60,7 +59,7 @@
     network = 5 + list(cluster.FIRMS).index(firm)
     for seed in range(1, options.seeds + 1):
         for name in options.loads.split(","):
-            rates = loads(firm)[name]
+            rates = rates_by_load(firm)[name]
             load_before = common.load_average()
             with common.started_cluster(network=network, firm=firm, routing=routing,
                                         service_time_ms=SERVICE_TIME_MS[firm]) as running:
@@ -86,14 +85,14 @@
             yield row
 
 
-def interval(values):
+def format_interval(values):
     spread = STUDENT_T[len(values)] * statistics.stdev(values) / len(values) ** 0.5
     return f"{statistics.mean(values):.0f} ± {spread:.0f}"
 
 
 def hop_rows(options):
-    """Runs of both variants alternate on two clusters that exist at the same time, so that a disturbance of the machine
-    meets both."""
+    """Alternates runs on two clusters, one for each kind of routing, that run at the same time, so that a disturbance of
+    the machine affects both."""
     medians = {"gate": [], "direct": []}
     settings = {"firm": "navalsig", "service_time_ms": 1}
     with common.started_cluster(routing="gate", **settings) as gate, \
@@ -108,7 +107,7 @@
                 medians[routing].append(it["latency_ms"]["p50"] * 1000)
     added = [a - b for a, b in zip(medians["gate"], medians["direct"])]
     for name, values in (("gate", medians["gate"]), ("direct", medians["direct"]), ("difference", added)):
-        yield [name, ", ".join(f"{it:.0f}" for it in values), interval(values), f"{common.load_average():.0f}"]
+        yield [name, ", ".join(f"{it:.0f}" for it in values), format_interval(values), f"{common.load_average():.0f}"]
 
 
 def run(options):
