--- a/tools/measure_instance.py
+++ b/tools/measure_instance.py
@@ -1,14 +1,14 @@
 """Measures the requests per second and core of one instance that is both entry and gate, with several upstreams whose
-service time is so short that they do not limit it. Lookups only: at-most-once work needs three ledger replicas."""
+service time is too short to limit it. Sends lookups only: at-most-once requests need three ledger replicas."""
 
 import measure_common as common
 
 
 def add_options(parser):
-    parser.add_argument("--rates", default="1000,2000,4000,8000", help="offered requests/s, with commas")
+    parser.add_argument("--rates", default="1000,2000,4000,8000", help="offered requests/s, comma-separated")
     parser.add_argument("--seconds", type=float, default=6)
     parser.add_argument("--upstreams", type=int, default=12)
-    parser.add_argument("--instances", default="1", help="instances in each data centre, with commas")
+    parser.add_argument("--instances", default="1", help="instances in each data centre, comma-separated")
 
 
 def run(options):
