--- a/tools/measure.py
+++ b/tools/measure.py
@@ -1,12 +1,12 @@
-"""Measurements on local clusters of real processes; each subcommand prints Markdown."""
+"""Measures local clusters of real processes; each subcommand prints Markdown."""
 
 import argparse
 import importlib
 import sys
 
 COMMANDS = {
-    "routing": "the gate against direct dispatch on the same load and seeds",
-    "outage": "time until keys are served again after a loss, against the bound of 1 s",
+    "routing": "routing through gates compared with direct dispatch, on the same load and seeds",
+    "outage": "time until keys are served again after processes are killed, compared with the bound of 1 s",
     "control": "control traffic, processor time and memory per instance at several sizes",
     "instance": "requests per second and core of one instance",
 }
--- a/tools/measure_common.py
+++ b/tools/measure_common.py
@@ -1,4 +1,4 @@
-"""What the measurements share: processor use, the load generator, and Markdown tables."""
+"""Shared code of the measurements: processor use, the load generator, and Markdown tables."""
 
 import contextlib
 import json
@@ -9,9 +9,8 @@
 
 import cluster
 
-TICK = os.sysconf("SC_CLK_TCK")
-# Second byte of the loopback addresses, so that a demonstration on the same machine does not share ports with a
-# measurement.
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+# First value of the second byte of the loopback addresses; the demonstration uses 0, so that both can run on one machine.
 NETWORK = 64
 BINARY = os.path.join(cluster.ROOT, "build", "kingcupseam")
 
@@ -19,13 +18,13 @@
 def processor_seconds(pid):
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def machine_busy_seconds():
     with open("/proc/stat", encoding="ascii") as file:
         fields = [int(it) for it in file.readline().split()[1:]]
-    return (sum(fields[:8]) - fields[3] - fields[4]) / TICK
+    return (sum(fields[:8]) - fields[3] - fields[4]) / TICKS_PER_SECOND
 
 
 class ProcessorUse:
@@ -54,7 +53,7 @@
 
 @contextlib.contextmanager
 def started_cluster(network=0, **settings):
-    """A cluster with its firm's profile in force and every shard owned; ended on the way out."""
+    """Starts a cluster, waits until every shard has an owner, and stops the cluster on exit from the context."""
     with tempfile.TemporaryDirectory(prefix="kingcupseam-") as folder:
         running = cluster.Cluster(os.path.join(folder, "run"), BINARY, network=NETWORK + network, **settings)
         try:
@@ -67,21 +66,21 @@
             running.stop()
 
 
-def start_load(running, *words, instances=None):
+def start_load(running, *arguments, instances=None):
     addresses = ",".join(it.caller for it in instances or running.instances if it.process is not None)
     return subprocess.Popen([BINARY, "load", "--firm", running.firm, "--address", addresses, "--json",
-                             *[str(it) for it in words]],
+                             *[str(it) for it in arguments]],
                             stdin=subprocess.DEVNULL, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
 
 
 def finish_load(process, limit):
-    """Returns the report of the load generator; its exit code tells violations, which the report has too."""
+    """Returns the report of the load generator. Ignores its exit code: the report lists the violations too."""
     out, _ = process.communicate(timeout=limit)
     return json.loads(out)
 
 
 def print_table(columns, rows):
-    """Prints each row as soon as it is there, so that an interrupted measurement keeps what it has."""
+    """Prints each row as soon as it is measured, so that an interrupted measurement keeps the finished rows."""
     print("| " + " | ".join(columns) + " |")
     print("|" + "---|" * len(columns), flush=True)
     for it in rows:
