--- a/tools/cluster.py
+++ b/tools/cluster.py
@@ -11,8 +11,9 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 TOKEN = "local-operator-token"
-PORTS_PER_INSTANCE = 10  # peer (and the next one for traffic), caller, upstream, operator
+PORTS_PER_INSTANCE = 10  # offsets: 0 peer, 1 peer traffic, 2 caller, 3 upstream, 4 operator
 
+# Services of each firm: name, number of upstreams, slots and connections of each upstream.
 FIRMS = {
     "navalsig": {"services": (("registry", 30, 2, 120), ("repack", 6, 2, 120))},
     "cairnmark": {"services": (("records", 30, 6, 130), ("ledger", 6, 6, 130))},
@@ -92,9 +93,9 @@
                           f'address = "{other.peer}"']
         return "\n".join(lines) + "\n"
 
-    def _spawn(self, name, words):
+    def _spawn(self, name, arguments):
         with open(os.path.join(self.run_folder, name + ".log"), "ab") as log:
-            return subprocess.Popen([self.binary, *words], stdout=log, stderr=log, stdin=subprocess.DEVNULL)
+            return subprocess.Popen([self.binary, *arguments], stdout=log, stderr=log, stdin=subprocess.DEVNULL)
 
     def start_instance(self, it):
         path = os.path.join(self.run_folder, it.name + ".toml")
@@ -109,11 +110,11 @@
     def start_upstream(self, name, service, slots, connections, data_center, port, seed):
         hosts = [it for it in self.instances if it.data_center == data_center]
         ip = hosts[0].ip
-        words = ["stand-in", "--name", name, "--service", service, "--listen", f"{ip}:{port}",
+        arguments = ["stand-in", "--name", name, "--service", service, "--listen", f"{ip}:{port}",
                  "--instance", ",".join(it.upstream for it in hosts), "--slots", str(slots),
                  "--connections", str(connections), "--service-time", str(self.service_time_ms),
                  "--seed", str(seed), "--record", os.path.join(self.records, name + ".log"), *self.stand_in_options]
-        self.upstreams[name] = self._spawn(name, words)
+        self.upstreams[name] = self._spawn(name, arguments)
 
     def start_upstreams(self):
         data_centers = list(dict.fromkeys(it.data_center for it in self.instances))
@@ -130,12 +131,12 @@
         with urllib.request.urlopen(request, timeout=timeout) as answer:
             return answer.read().decode()
 
-    def accept_profile(self, path, limit=20):
-        """Accepts the profile, repeating the same change until the global group answers."""
+    def accept_profile(self, path, timeout=20):
+        """Submits the profile, repeating the same change until an instance accepts it."""
         name = os.path.splitext(os.path.basename(path))[0]
         with open(path, "rb") as file:
             content = file.read()
-        end = time.monotonic() + limit
+        end = time.monotonic() + timeout
         while True:
             for it in self.instances:
                 try:
@@ -149,7 +150,7 @@
         return json.loads(self.call(it.operator, "/v1/status"))
 
     def all_owned(self, it):
-        """True when the instance is ready and every shard of every service has an owner in its view."""
+        """True if the instance is ready and reports an owner for every shard of every service."""
         try:
             status = self.status(it)
         except (urllib.error.URLError, OSError):
@@ -159,8 +160,8 @@
         seen = {up["service"] for table in tables for up in table["upstreams"] if up["shards"] > 0}
         return status["ready"] and wanted <= seen and all(t["shards_without_owner"] == 0 for t in tables)
 
-    def wait_until_owned(self, limit=30):
-        end = time.monotonic() + limit
+    def wait_until_owned(self, timeout=30):
+        end = time.monotonic() + timeout
         pending = [it for it in self.instances if it.process is not None]
         while pending:
             pending = [it for it in pending if not self.all_owned(it)]
@@ -179,7 +180,7 @@
         del self.upstreams[name]
 
     def stop(self):
-        """Ends every process that this object started; returns the names of those that did not stop by themselves."""
+        """Stops every process that this object started; returns the names of those that had to be killed."""
         running = {it.name: it.process for it in self.instances if it.process is not None}
         late = self._terminate(self.upstreams) + self._terminate(running)
         for it in self.instances:
