--- a/idl/consensus.thrift
+++ b/idl/consensus.thrift
@@ -1,4 +1,4 @@
-// Membership of a replicated group, as entries of its log and its snapshots store it.
+// Membership of a replicated group, as stored in its log entries and snapshots.
 namespace cpp kingcupseam.wire
 
 struct GroupMember {
--- a/idl/directory.thrift
+++ b/idl/directory.thrift
@@ -71,7 +71,7 @@
   5: i64 upstream_started_ms
 }
 
-// One entry of the log. The parts that are set are applied in this order.
+// One log entry. The fields that are set are applied in this order.
 struct DirectoryCommand {
   1: optional Configuration configuration
   2: list<RegisteredUpstream> upstreams
@@ -86,7 +86,7 @@
   2: i32 first
 }
 
-// The whole directory (base 0) or the difference from the directory at index base.
+// The whole directory if base is 0, else the difference from the directory at log index base.
 struct DirectoryUpdate {
   1: i64 index
   2: i64 base
@@ -107,7 +107,7 @@
   2: string data_center
 }
 
-// A request that upstreams have ended with, by its digest.
+// A poison request: a request that was in progress at upstreams that crashed.
 struct WatchedRequest {
   1: i64 digest
   2: bool refused
@@ -138,7 +138,7 @@
   3: i64 service_time_us
 }
 
-// A request that was at work when its upstream ended.
+// A request that was in progress at an upstream when the upstream crashed.
 struct CrashedRequest {
   1: i64 digest
   2: string upstream
@@ -149,11 +149,11 @@
   1: list<KeyDemand> keys
   2: list<UpstreamLoad> upstreams
   3: list<CrashedRequest> crashed
-  // Digests of watched requests that an upstream answered.
+  // Digests of listed poison requests that an upstream answered.
   4: list<i64> survived
 }
 
-// An order of an operator or an upstream that reached a control instance without leadership.
+// An order of an operator or an upstream, forwarded to the leader by the control instance that received it.
 struct ControlOrder {
   1: i8 kind
   2: binary payload
--- a/idl/ownership.thrift
+++ b/idl/ownership.thrift
@@ -1,5 +1,5 @@
-// Routing table of a data centre and the commands that change it. Unsigned values travel in the signed type of the
-// same width. Indexes of upstreams are raised by one, so that "no upstream", the most frequent value, is zero.
+// Routing table of a data centre and the commands that change it. Unsigned values are encoded in the signed type of
+// the same width. Indexes of upstreams are encoded plus one: zero is "no upstream", the most frequent value.
 namespace cpp kingcupseam.wire
 
 struct UpstreamRow {
@@ -17,7 +17,7 @@
   12: i64 version
 }
 
-// A value that repeats along the shards. A count of one is left out.
+// One run of a run-length encoded column: a value of consecutive shards. A count of one is omitted.
 struct Run {
   1: i64 value
   2: optional i32 count
@@ -30,7 +30,8 @@
   4: i64 epoch
 }
 
-// Each column is run-length coded by itself: owners change far more often along the shards than the others.
+// Columns over the shards. Each is run-length encoded separately, because owners vary far more from shard to shard
+// than the other columns.
 struct ServiceRows {
   1: string name
   2: i32 shards
@@ -55,7 +56,9 @@
   6: list<LedgerGroup> ledger_groups
 }
 
-// Lists of shards hold the difference of each shard from the one before it; they are mostly ascending.
+// Lists of shards in the commands are delta-encoded; they are mostly ascending.
+
+// homes: the shards of the service that are placed in this data centre.
 struct RegisterUpstream {
   1: UpstreamRow row
   2: i32 shards
@@ -82,6 +85,7 @@
   4: string to
 }
 
+// Sets which shards of the service are placed in this data centre.
 struct SetHomes {
   1: string service_name
   2: list<i32> shards
--- a/idl/peer.thrift
+++ b/idl/peer.thrift
@@ -1,5 +1,5 @@
-// Payloads of the frames that instances exchange. docs/protocol.md describes the frame around them.
-// Field numbers are never reused. Times are microseconds, unless a name says otherwise.
+// Payloads of the frames that instances exchange; docs/protocol.md specifies the frames. Field numbers are never
+// reused. Times are in microseconds unless the field name gives another unit.
 namespace cpp kingcupseam.wire
 
 struct Hello {
@@ -7,7 +7,7 @@
   2: i64 incarnation
   3: string data_center
   4: i32 protocol_version
-  // Everything that follows on this side of the link is one zlib stream.
+  // If set, all bytes after this message in the same direction form one zlib stream.
   5: bool compressed
 }
 
@@ -70,6 +70,7 @@
   3: optional LedgerRecord existing
 }
 
+// Fences the ledger of a shard: records of lower epochs are refused afterwards.
 struct LedgerSeal {
   1: string service_name
   2: i32 shard
@@ -238,6 +239,7 @@
   3: binary result
 }
 
+// State of a poison request.
 struct SuspectUpdate {
   1: string request_digest
   2: i32 crashes
--- a/idl/profile.thrift
+++ b/idl/profile.thrift
@@ -1,4 +1,4 @@
-// Changes of profiles and the snapshot of the profile store.
+// Profile changes and the snapshot of the profile store.
 namespace cpp kingcupseam.wire
 
 struct ProfileChange {
--- a/idl/routing.thrift
+++ b/idl/routing.thrift
@@ -1,5 +1,5 @@
-// Requests of callers that one entry passes on to another, the gate of the upstream. Field numbers are never
-// reused.
+// Callers' requests that one entry forwards to another entry, which is the gate of the upstream. Field numbers are
+// never reused.
 namespace cpp kingcupseam.wire
 
 struct RoutedHeader {
@@ -12,9 +12,9 @@
   2: bool at_most_once
   3: i32 priority
   4: i32 attempts
-  // Time left until the caller's or the route's limit, whichever is first.
+  // Time left until the caller's or the route's deadline, whichever is earlier.
   5: i64 left_us
-  // Time left until the target latency; negative when it has passed.
+  // Time left until the target latency is reached; negative once it has passed.
   6: i64 target_left_us
   7: string request_id
   8: string method
@@ -24,19 +24,19 @@
   11: i32 key
   12: list<RoutedHeader> headers
   13: binary body
-  // Entries that it has come through, the one that received it included.
+  // Number of entries that have forwarded the request, including the one that received it from the caller.
   14: i32 hops
 }
 
 struct RoutedReply {
-  // False when the gate did not take the request: it has not run and may be sent another way.
+  // False if the gate did not accept the request: it has not run and may be sent by another path.
   1: bool taken
   2: i32 status
   3: list<RoutedHeader> headers
   4: binary body
 }
 
-// Withdraws the request that was sent with this correlation number on the same link.
+// Cancels the request that was sent with this correlation number on the same link.
 struct RoutedCancel {
   1: i64 correlation
 }
--- a/idl/state.thrift
+++ b/idl/state.thrift
@@ -10,6 +10,7 @@
   4: binary table
 }
 
+// Placement of a service's shards: homes holds, for each shard, an index into data_centers.
 struct ServiceHomes {
   1: string service_name
   2: list<string> data_centers
