--- a/cmake/libraries.cmake
+++ b/cmake/libraries.cmake
@@ -3,7 +3,7 @@
 kingcupseam_library(error)
 kingcupseam_library(types error)
 target_link_libraries(kingcupseam_types PUBLIC xxhash)
-# The Thrift code keeps the names of the IDL, so it is built without the project's warnings.
+# The generated Thrift code uses the names of the IDL, so it is built without the project's warnings.
 file(GLOB generated_sources CONFIGURE_DEPENDS src/generated/*_types.cpp)
 add_library(kingcupseam_generated STATIC ${generated_sources})
 target_include_directories(kingcupseam_generated SYSTEM PUBLIC src/generated)
@@ -14,7 +14,7 @@
 kingcupseam_library(config types)
 kingcupseam_library(metrics types)
 kingcupseam_library(statechart config)
-# The charts are part of the binary, so an instance cannot run with charts of another version.
+# The charts are embedded in the binary, so that an instance cannot run with charts of another version.
 file(GLOB chart_files CONFIGURE_DEPENDS charts/*.toml)
 add_custom_command(
   OUTPUT ${PROJECT_BINARY_DIR}/embedded_charts.cpp
@@ -44,7 +44,7 @@
 
 kingcupseam_library(router app directory key_ranges)
 
-# Knows the provider's names; nothing else does.
+# The only library that uses names of the provider's protocol; tools/check_names checks that.
 file(GLOB platform_sources CONFIGURE_DEPENDS platform/*.cpp)
 add_library(kingcupseam_platform STATIC ${platform_sources})
 target_include_directories(kingcupseam_platform PUBLIC platform)
