--- a/tools/cluster.py
+++ b/tools/cluster.py
@@ -111,9 +111,9 @@
         hosts = [it for it in self.instances if it.data_center == data_center]
         ip = hosts[0].ip
         arguments = ["stand-in", "--name", name, "--service", service, "--listen", f"{ip}:{port}",
-                 "--instance", ",".join(it.upstream for it in hosts), "--slots", str(slots),
-                 "--connections", str(connections), "--service-time", str(self.service_time_ms),
-                 "--seed", str(seed), "--record", os.path.join(self.records, name + ".log"), *self.stand_in_options]
+                     "--instance", ",".join(it.upstream for it in hosts), "--slots", str(slots),
+                     "--connections", str(connections), "--service-time", str(self.service_time_ms),
+                     "--seed", str(seed), "--record", os.path.join(self.records, name + ".log"), *self.stand_in_options]
         self.upstreams[name] = self._spawn(name, arguments)
 
     def start_upstreams(self):
@@ -132,7 +132,7 @@
             return answer.read().decode()
 
     def accept_profile(self, path, timeout=20):
-        """Submits the profile, repeating the same change until an instance accepts it."""
+        """Submits the profile to the instances in turn, repeating the same change until the global group accepts it."""
         name = os.path.splitext(os.path.basename(path))[0]
         with open(path, "rb") as file:
             content = file.read()
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -15,7 +15,8 @@
     parser.add_argument("--firm", choices=sorted(cluster.FIRMS), default="navalsig")
     parser.add_argument("--rate", type=int, default=900, help="requests per second")
     parser.add_argument("--seconds", type=int, default=20, help="duration of the load")
-    parser.add_argument("--base-port", type=int, default=21000, help="first port of the instances; the upstreams start 10000 higher")
+    parser.add_argument("--base-port", type=int, default=21000,
+                        help="first port of the instances; the upstreams start 10000 higher")
     parser.add_argument("--keep", action="store_true", help="keep logs and records")
     return parser.parse_args()
 
@@ -30,8 +31,8 @@
 
 def run_load(running, options):
     arguments = [running.binary, "load", "--firm", options.firm,
-             "--address", ",".join(it.caller for it in running.instances), "--rate", str(options.rate),
-             "--duration", str(options.seconds), "--resend", "0.05", "--judge", running.records]
+                 "--address", ",".join(it.caller for it in running.instances), "--rate", str(options.rate),
+                 "--duration", str(options.seconds), "--resend", "0.05", "--judge", running.records]
     return subprocess.Popen(arguments, stdin=subprocess.DEVNULL)
 
 
--- a/tools/measure_common.py
+++ b/tools/measure_common.py
@@ -10,7 +10,8 @@
 import cluster
 
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
-# First value of the second byte of the loopback addresses; the demonstration uses 0, so that both can run on one machine.
+# Second byte of the loopback addresses of the first cluster. The demonstration uses 0, so that both can run on one
+# machine.
 NETWORK = 64
 BINARY = os.path.join(cluster.ROOT, "build", "kingcupseam")
 
--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -46,7 +46,7 @@
     return result
 
 
-def measure_traffic(running, seconds):
+def measure_instances(running, seconds):
     """Returns per instance: bytes/s sent and received, heartbeats included; frames/s without heartbeats; cores in use;
     resident bytes."""
     before = {it.name: read_metrics(running, it) for it in running.instances}
@@ -113,7 +113,7 @@
                     load = common.start_load(running, "--rate", options.rate_per_instance * instances, "--duration",
                                              options.seconds + 4)
                     time.sleep(2)
-                measured = measure_traffic(running, options.seconds)
+                measured = measure_instances(running, options.seconds)
                 if load:
                     common.finish_load(load, 60)
                 rows += format_rows(instances, upstreams, state, role_of, measured)
--- a/tools/measure_outage.py
+++ b/tools/measure_outage.py
@@ -27,7 +27,7 @@
     parser.add_argument("--after", type=float, default=3, help="seconds of probing after the kill")
     parser.add_argument("--seed", type=int, default=1, help="seed of the random choice of victims")
     parser.add_argument("--kinds", default=",".join(KINDS),
-                        help="comma-separated; 'nothing' kills no process and shows the disturbance by the machine alone")
+                        help="comma-separated; 'nothing' kills no process and shows the effect of the machine alone")
 
 
 async def send_request(address, kind, key):
@@ -122,7 +122,7 @@
 
 
 def choose_victims(running, kind, owners, rng):
-    """Returns the names of the instances to kill, of the upstream to kill, and of the upstreams whose keys are probed."""
+    """Returns the names of the instances to kill, of the upstream to kill, and of the upstreams to probe."""
     leader, voters = find_leader(running, "north")
     table = next(it for it in status_of(running)["data_centers"] if it["data_center"] == "north")
     owning = set(owners.values())
--- a/tools/measure_routing.py
+++ b/tools/measure_routing.py
@@ -91,7 +91,7 @@
 
 
 def hop_rows(options):
-    """Alternates runs on two clusters, one for each kind of routing, that run at the same time, so that a disturbance of
+    """Alternates runs between a gate cluster and a direct cluster that exist at the same time, so that a disturbance of
     the machine affects both."""
     medians = {"gate": [], "direct": []}
     settings = {"firm": "navalsig", "service_time_ms": 1}
