--- a/include/kingcupseam/config.h
+++ b/include/kingcupseam/config.h
@@ -21,8 +21,8 @@
 std::string read_file(const std::filesystem::path& file);
 
 /// One table of a TOML document whose values are read with their allowed ranges. It remembers which keys were
-/// asked for; finish() then refuses the keys that nothing asked for. All functions throw invalid_input with
-/// the dotted path of the key.
+/// asked for; reject_unknown_keys() then refuses the keys that nothing asked for. All functions throw
+/// invalid_input with the dotted path of the key.
 class table {
 public:
     /// @param source file name for errors
@@ -55,7 +55,7 @@
 
     bool has(const std::string& key) const;
     /// Refuses keys that were not asked for, and names the most similar known key.
-    void finish() const;
+    void reject_unknown_keys() const;
     /// Dotted path of a key, such as "services[0].rules[2].path".
     std::string path(const std::string& key) const;
     const std::string& source() const noexcept;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -292,7 +292,7 @@
     return result;
 }
 
-void table::finish() const {
+void table::reject_unknown_keys() const {
     // The table is unordered; the smallest unknown key is reported, so that the message is always the same.
     std::set<std::string> unknown;
     for (const auto& [key, value] : state_->values) {
--- a/src/profile/parse.cpp
+++ b/src/profile/parse.cpp
@@ -73,7 +73,7 @@
     result.deadline = source.milliseconds("deadline_ms", 1, 60'000, result.deadline);
     result.max_body_bytes = static_cast<std::size_t>(
         source.integer("max_body_bytes", 0, 1'048'576, static_cast<std::int64_t>(result.max_body_bytes)));
-    source.finish();
+    source.reject_unknown_keys();
     return result;
 }
 
@@ -89,7 +89,7 @@
     for (const auto& it : rules) {
         result.rules.push_back(read_rule(it));
     }
-    source.finish();
+    source.reject_unknown_keys();
     return result;
 }
 
@@ -122,7 +122,7 @@
     result.guaranteed_share = source.real("guaranteed_share", 0, max_share_sum, result.guaranteed_share);
     result.max_waiting = static_cast<std::uint32_t>(
         source.integer("max_waiting", 1, 65'536, std::int64_t{result.max_waiting}));
-    source.finish();
+    source.reject_unknown_keys();
     return result;
 }
 
@@ -138,7 +138,7 @@
         }
         sum += result.ranks[static_cast<std::size_t>(it)].guaranteed_share;
     }
-    ranks->finish();
+    ranks->reject_unknown_keys();
     // Shares are decimal fractions; their binary sum may exceed 0.9 by rounding only.
     if (sum > max_share_sum + 1e-9) {
         root.fail("ranks", "the guaranteed shares must sum to at most 0.9");
@@ -156,7 +156,7 @@
         static_cast<std::uint32_t>(retries->integer("max_attempts", 1, 10, std::int64_t{it.max_attempts}));
     it.first_backoff = retries->milliseconds("first_backoff_ms", 1, 10'000, it.first_backoff);
     it.max_backoff = retries->milliseconds("max_backoff_ms", 1, 60'000, it.max_backoff);
-    retries->finish();
+    retries->reject_unknown_keys();
     if (it.first_backoff > it.max_backoff) {
         retries->fail("first_backoff_ms", "must be at most max_backoff_ms");
     }
@@ -188,7 +188,7 @@
     read_ranks(root, result);
     read_retries(root, result);
     result.services = read_services(root);
-    root.finish();
+    root.reject_unknown_keys();
     check_rules(source, result.services);
     check_retention(root, result);
     return result;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -51,7 +51,7 @@
     result.name = read_name(source, "name");
     result.data_center = read_name(source, "data_center");
     result.address = read_address(source, "address");
-    source.finish();
+    source.reject_unknown_keys();
     return result;
 }
 
@@ -178,7 +178,7 @@
     result.routing = static_cast<routing_mode>(root.word("routing", {"gate", "direct"}, 0));
     read_logging(root, result);
     read_times(root, result);
-    root.finish();
+    root.reject_unknown_keys();
     check_listeners(root, result);
     check_times(root, result);
     check_voters(root, result);
--- a/src/statechart/statechart.cpp
+++ b/src/statechart/statechart.cpp
@@ -26,7 +26,7 @@
     if (!result.states.emplace(name, std::move(transitions)).second) {
         source.fail("name", "is used by two states");
     }
-    source.finish();
+    source.reject_unknown_keys();
 }
 
 chart read_chart(const std::string& source, const std::string& text) {
@@ -38,7 +38,7 @@
     for (const auto& it : root.tables("state")) {
         read_state(it, result);
     }
-    root.finish();
+    root.reject_unknown_keys();
     return result;
 }
 
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -42,7 +42,7 @@
         const auto other = table::parse("f.toml", "wiat_ms = 1\n");
         other.milliseconds("wait_ms", 1, 100, std::chrono::milliseconds(1));
         other.integer("count", 1, 10, 1);
-        CHECK(failure_of([&] { other.finish(); }) ==
+        CHECK(failure_of([&] { other.reject_unknown_keys(); }) ==
               "f.toml: wiat_ms: is not a known key; the nearest known key is wait_ms");
     }
 }
