--- a/include/kingcupseam/config.h
+++ b/include/kingcupseam/config.h
@@ -49,7 +49,7 @@
     std::vector<std::string> texts(const std::string& key) const;
     /// Array of tables; empty when the key is absent.
     std::vector<table> tables(const std::string& key) const;
-    std::optional<table> sub(const std::string& key) const;
+    std::optional<table> subtable(const std::string& key) const;
     /// All keys of the table, in order; marks them as asked for.
     std::vector<std::string> keys() const;
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -271,7 +271,7 @@
     return result;
 }
 
-std::optional<table> table::sub(const std::string& key) const {
+std::optional<table> table::subtable(const std::string& key) const {
     const toml::value* const found = state_->find(key);
     if (found == nullptr) {
         return std::nullopt;
--- a/src/profile/parse.cpp
+++ b/src/profile/parse.cpp
@@ -127,13 +127,13 @@
 }
 
 void read_ranks(const table& root, profile& result) {
-    const auto ranks = root.sub("ranks");
+    const auto ranks = root.subtable("ranks");
     if (!ranks) {
         return;
     }
     double sum = 0;
     for (const rank it : all_ranks) {
-        if (const auto settings = ranks->sub(std::string(to_string(it)))) {
+        if (const auto settings = ranks->subtable(std::string(to_string(it)))) {
             result.ranks[static_cast<std::size_t>(it)] = read_rank(*settings);
         }
         sum += result.ranks[static_cast<std::size_t>(it)].guaranteed_share;
@@ -146,7 +146,7 @@
 }
 
 void read_retries(const table& root, profile& result) {
-    const auto retries = root.sub("retries");
+    const auto retries = root.subtable("retries");
     if (!retries) {
         return;
     }
--- a/src/statechart/statechart.cpp
+++ b/src/statechart/statechart.cpp
@@ -15,7 +15,7 @@
 void read_state(const table& source, chart& result) {
     const std::string name = source.text("name", 1, 64);
     std::vector<transition> transitions;
-    if (const auto on = source.sub("on")) {
+    if (const auto on = source.subtable("on")) {
         for (const auto& event : on->keys()) {
             transitions.push_back({event, on->text(event, 1, 64)});
         }
