--- a/include/kingcupseam/config.h
+++ b/include/kingcupseam/config.h
@@ -43,8 +43,8 @@
     duration seconds(const std::string& key, std::int64_t min, std::int64_t max,
                      std::optional<duration> fallback = std::nullopt) const;
     /// One of the given words. @returns its position
-    std::size_t word(const std::string& key, const std::vector<std::string>& allowed,
-                     std::optional<std::size_t> fallback = std::nullopt) const;
+    std::size_t choice(const std::string& key, const std::vector<std::string>& allowed,
+                       std::optional<std::size_t> fallback = std::nullopt) const;
     /// Empty when the key is absent.
     std::vector<std::string> texts(const std::string& key) const;
     /// Array of tables; empty when the key is absent.
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -215,8 +215,8 @@
     return unit(integer(key, min, max, count));
 }
 
-std::size_t table::word(const std::string& key, const std::vector<std::string>& allowed,
-                        std::optional<std::size_t> fallback) const {
+std::size_t table::choice(const std::string& key, const std::vector<std::string>& allowed,
+                          std::optional<std::size_t> fallback) const {
     const toml::value* const found = state_->find(key);
     if (found == nullptr && fallback) {
         return *fallback;
--- a/src/profile/parse.cpp
+++ b/src/profile/parse.cpp
@@ -66,10 +66,10 @@
 
 rule read_rule(const table& source) {
     rule result;
-    result.method = methods()[source.word("method", methods())];
+    result.method = methods()[source.choice("method", methods())];
     result.path = read_path(source);
-    result.priority = static_cast<rank>(source.word("rank", {"urgent", "standard", "deferrable"}));
-    result.runs = static_cast<execution>(source.word("runs", {"idempotent", "at-most-once"}));
+    result.priority = static_cast<rank>(source.choice("rank", {"urgent", "standard", "deferrable"}));
+    result.runs = static_cast<execution>(source.choice("runs", {"idempotent", "at-most-once"}));
     result.deadline = source.milliseconds("deadline_ms", 1, 60'000, result.deadline);
     result.max_body_bytes = static_cast<std::size_t>(
         source.integer("max_body_bytes", 0, 1'048'576, static_cast<std::int64_t>(result.max_body_bytes)));
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -90,8 +90,8 @@
 
 void read_logging(const table& root, instance_settings& result) {
     static const std::vector<std::string> levels{"trace", "debug", "info", "warn", "error"};
-    result.log = static_cast<log_format>(root.word("log", {"text", "json"}, 0));
-    result.log_level = levels[root.word("log_level", levels, 2)];
+    result.log = static_cast<log_format>(root.choice("log", {"text", "json"}, 0));
+    result.log_level = levels[root.choice("log_level", levels, 2)];
 }
 
 void check_listeners(const table& root, const instance_settings& all) {
@@ -175,7 +175,7 @@
     result.global_voters = root.texts("global_voters");
     result.data_center_size = static_cast<std::uint32_t>(
         root.integer("data_center_size", 1, 1024, std::int64_t{result.data_center_size}));
-    result.routing = static_cast<routing_mode>(root.word("routing", {"gate", "direct"}, 0));
+    result.routing = static_cast<routing_mode>(root.choice("routing", {"gate", "direct"}, 0));
     read_logging(root, result);
     read_times(root, result);
     root.reject_unknown_keys();
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -15,7 +15,7 @@
     CHECK(root.integer("count", 1, 10) == 5);
     CHECK(root.real("share", 0, 1) == 1);
     CHECK(root.milliseconds("wait_ms", 1, 100) == std::chrono::milliseconds(20));
-    CHECK(root.word("mode", {"slow", "fast"}) == 1);
+    CHECK(root.choice("mode", {"slow", "fast"}) == 1);
     CHECK(root.texts("names") == std::vector<std::string>{"a", "b"});
     CHECK(root.integer("absent", 1, 10, 3) == 3);
     const auto rows = root.tables("row");
@@ -27,7 +27,7 @@
               "f.toml: count: must be an integer of 6 to 10");
         CHECK(failure_of([&] { rows[1].integer("id", 1, 5); }) ==
               "f.toml: row[1].id: must be an integer of 1 to 5");
-        CHECK(failure_of([&] { root.word("mode", {"slow"}); }) == "f.toml: mode: must be one of slow");
+        CHECK(failure_of([&] { root.choice("mode", {"slow"}); }) == "f.toml: mode: must be one of slow");
     }
     SUBCASE("a value of another kind is refused instead of converted") {
         CHECK(failure_of([&] { root.integer("mode", 1, 10); }) != "no failure");
