--- a/include/kingcupseam/config.h
+++ b/include/kingcupseam/config.h
@@ -29,8 +29,8 @@
     static table parse(const std::string& source, std::string_view text);
 
     /// Reads a key without a fallback as required, and one with a fallback as optional.
-    std::string text(const std::string& key, std::size_t min_length, std::size_t max_length,
-                     const std::optional<std::string>& fallback = std::nullopt) const;
+    std::string string(const std::string& key, std::size_t min_length, std::size_t max_length,
+                       const std::optional<std::string>& fallback = std::nullopt) const;
     std::int64_t integer(const std::string& key, std::int64_t min, std::int64_t max,
                          std::optional<std::int64_t> fallback = std::nullopt) const;
     double real(const std::string& key, double min, double max,
@@ -46,7 +46,7 @@
     std::size_t choice(const std::string& key, const std::vector<std::string>& allowed,
                        std::optional<std::size_t> fallback = std::nullopt) const;
     /// Empty when the key is absent.
-    std::vector<std::string> texts(const std::string& key) const;
+    std::vector<std::string> strings(const std::string& key) const;
     /// Array of tables; empty when the key is absent.
     std::vector<table> tables(const std::string& key) const;
     std::optional<table> subtable(const std::string& key) const;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -145,8 +145,8 @@
     return state_->find(key) != nullptr;
 }
 
-std::string table::text(const std::string& key, std::size_t min_length, std::size_t max_length,
-                        const std::optional<std::string>& fallback) const {
+std::string table::string(const std::string& key, std::size_t min_length, std::size_t max_length,
+                          const std::optional<std::string>& fallback) const {
     const toml::value* const found = state_->find(key);
     const std::string range =
         "must be a text of " + std::to_string(min_length) + " to " + std::to_string(max_length) + " bytes";
@@ -234,7 +234,7 @@
     fail(key, (found == nullptr ? "is missing; must be one of " : "must be one of ") + list);
 }
 
-std::vector<std::string> table::texts(const std::string& key) const {
+std::vector<std::string> table::strings(const std::string& key) const {
     const toml::value* const found = state_->find(key);
     std::vector<std::string> result;
     if (found == nullptr) {
--- a/src/profile/parse.cpp
+++ b/src/profile/parse.cpp
@@ -24,7 +24,7 @@
 }
 
 std::string read_name(const table& source, const std::string& key) {
-    std::string name = source.text(key, 1, 64);
+    std::string name = source.string(key, 1, 64);
     const auto allowed = [](unsigned char c) {
         return std::isalnum(c) != 0 || c == '.' || c == '_' || c == '-';
     };
@@ -44,7 +44,7 @@
 }
 
 std::string read_path(const table& source) {
-    std::string path = source.text("path", 2, 512);
+    std::string path = source.string("path", 2, 512);
     const segment_list segments = split_path(path);
     if (segments.count == 0) {
         source.fail("path",
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t max_global_voters = 7;
 
 std::string read_name(const table& source, const std::string& key) {
-    std::string name = source.text(key, 1, 64);
+    std::string name = source.string(key, 1, 64);
     const auto allowed = [](unsigned char c) {
         return std::isalnum(c) != 0 || c == '.' || c == '_' || c == '-';
     };
@@ -29,7 +29,7 @@
 }
 
 endpoint_address read_address(const table& source, const std::string& key) {
-    auto address = parse_endpoint(source.source(), source.path(key), source.text(key, 1, 64));
+    auto address = parse_endpoint(source.source(), source.path(key), source.string(key, 1, 64));
     in_addr ignored{};
     if (::inet_pton(AF_INET, address.ip.c_str(), &ignored) != 1) {
         source.fail(key, "must be IP:PORT with an IPv4 address");
@@ -38,7 +38,7 @@
 }
 
 std::string read_token(const table& source, const std::string& key) {
-    std::string token = source.text(key, 16, 256);
+    std::string token = source.string(key, 16, 256);
     // The token is sent in an HTTP header, where spaces and control characters would end it.
     if (!std::all_of(token.begin(), token.end(), [](unsigned char c) { return std::isgraph(c) != 0; })) {
         source.fail(key, "must consist of visible ASCII characters");
@@ -169,10 +169,10 @@
     read_listeners(root, result);
     result.operator_token = read_token(root, "operator_token");
     if (root.has("data_folder")) {
-        result.data_folder = root.text("data_folder", 1, 4096);
+        result.data_folder = root.string("data_folder", 1, 4096);
     }
     result.seeds = read_seeds(root);
-    result.global_voters = root.texts("global_voters");
+    result.global_voters = root.strings("global_voters");
     result.data_center_size = static_cast<std::uint32_t>(
         root.integer("data_center_size", 1, 1024, std::int64_t{result.data_center_size}));
     result.routing = static_cast<routing_mode>(root.choice("routing", {"gate", "direct"}, 0));
--- a/src/statechart/statechart.cpp
+++ b/src/statechart/statechart.cpp
@@ -13,11 +13,11 @@
 using config::table;
 
 void read_state(const table& source, chart& result) {
-    const std::string name = source.text("name", 1, 64);
+    const std::string name = source.string("name", 1, 64);
     std::vector<transition> transitions;
     if (const auto on = source.subtable("on")) {
         for (const auto& event : on->keys()) {
-            transitions.push_back({event, on->text(event, 1, 64)});
+            transitions.push_back({event, on->string(event, 1, 64)});
         }
     }
     if (source.boolean("final", false)) {
@@ -32,9 +32,9 @@
 chart read_chart(const std::string& source, const std::string& text) {
     const table root = table::parse(source, text);
     chart result;
-    result.name = root.text("name", 1, 64);
-    result.initial = root.text("initial", 1, 64);
-    result.events = root.texts("events");
+    result.name = root.string("name", 1, 64);
+    result.initial = root.string("initial", 1, 64);
+    result.events = root.strings("events");
     for (const auto& it : root.tables("state")) {
         read_state(it, result);
     }
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -16,7 +16,7 @@
     CHECK(root.real("share", 0, 1) == 1);
     CHECK(root.milliseconds("wait_ms", 1, 100) == std::chrono::milliseconds(20));
     CHECK(root.choice("mode", {"slow", "fast"}) == 1);
-    CHECK(root.texts("names") == std::vector<std::string>{"a", "b"});
+    CHECK(root.strings("names") == std::vector<std::string>{"a", "b"});
     CHECK(root.integer("absent", 1, 10, 3) == 3);
     const auto rows = root.tables("row");
     REQUIRE(rows.size() == 2);
@@ -31,11 +31,11 @@
     }
     SUBCASE("a value of another kind is refused instead of converted") {
         CHECK(failure_of([&] { root.integer("mode", 1, 10); }) != "no failure");
-        CHECK(failure_of([&] { root.text("count", 0, 9); }) != "no failure");
+        CHECK(failure_of([&] { root.string("count", 0, 9); }) != "no failure");
         CHECK(failure_of([&] { root.tables("names"); }) != "no failure");
     }
     SUBCASE("a missing required key says so") {
-        CHECK(failure_of([&] { root.text("name", 1, 64); }) ==
+        CHECK(failure_of([&] { root.string("name", 1, 64); }) ==
               "f.toml: name: is missing; must be a text of 1 to 64 bytes");
     }
     SUBCASE("a misspelt key is refused with the key that was probably meant") {
@@ -82,7 +82,7 @@
               "f.toml: line 1: has a control character");
     }
     SUBCASE("other scripts stay allowed") {
-        CHECK(table::parse("f.toml", "a = \"d\u00e9p\u00f4t \u6e2f\"").text("a", 1, 64).size() == 11);
+        CHECK(table::parse("f.toml", "a = \"d\u00e9p\u00f4t \u6e2f\"").string("a", 1, 64).size() == 11);
     }
 }
 
