--- a/include/kingcupseam/metrics.h
+++ b/include/kingcupseam/metrics.h
@@ -11,7 +11,7 @@
 
 namespace kingcupseam::metrics {
 
-using labels = std::map<std::string, std::string>;
+using label_set = std::map<std::string, std::string>;
 
 class counter {
 public:
@@ -60,9 +60,9 @@
 /// All metrics of a process. References stay valid for the registry's lifetime.
 class registry {
 public:
-    counter& counter_of(const std::string& name, const std::string& help, const labels& tags = {});
-    gauge& gauge_of(const std::string& name, const std::string& help, const labels& tags = {});
-    histogram& histogram_of(const std::string& name, const std::string& help, const labels& tags = {});
+    counter& counter_of(const std::string& name, const std::string& help, const label_set& labels = {});
+    gauge& gauge_of(const std::string& name, const std::string& help, const label_set& labels = {});
+    histogram& histogram_of(const std::string& name, const std::string& help, const label_set& labels = {});
     /// Prometheus text format 0.0.4; histograms in seconds.
     std::string prometheus_text() const;
 
@@ -70,7 +70,7 @@
     template <class T>
     struct family {
         std::string help;
-        std::map<labels, std::unique_ptr<T>> members;
+        std::map<label_set, std::unique_ptr<T>> members;
     };
 
     mutable std::mutex mutex_;
--- a/src/app/instance/control_usage.cpp
+++ b/src/app/instance/control_usage.cpp
@@ -44,13 +44,13 @@
 void control_usage::count_frame(const transport::frame& received) {
     auto it = by_type_.find(received.type);
     if (it == by_type_.end()) {
-        const metrics::labels tags{{"type", std::to_string(static_cast<int>(received.type))}};
+        const metrics::label_set labels{{"type", std::to_string(static_cast<int>(received.type))}};
         it = by_type_
                  .emplace(received.type,
                           totals{registry_.counter_of("kingcupseam_control_frames_received_total",
-                                                      "Frames of the control links, by type number", tags),
+                                                      "Frames of the control links, by type number", labels),
                                  registry_.counter_of("kingcupseam_control_frame_bytes_received_total",
-                                                      "Bytes of these frames, by type number", tags)})
+                                                      "Bytes of these frames, by type number", labels)})
                  .first;
     }
     it->second.frames.add();
--- a/src/app/instance/entry.cpp
+++ b/src/app/instance/entry.cpp
@@ -225,14 +225,14 @@
 }
 
 void entry::count_response(const in_flight_request& it, const wire::ForwardResponse& response) {
-    const metrics::labels tags{{"service", it.request.service_name},
-                               {"rank", std::string(to_string(it.priority))}};
-    auto with_outcome = tags;
+    const metrics::label_set labels{{"service", it.request.service_name},
+                                    {"rank", std::string(to_string(it.priority))}};
+    auto with_outcome = labels;
     with_outcome["outcome"] = std::string(to_string(static_cast<outcome>(response.outcome)));
     with_outcome["reason"] = std::string(to_string(static_cast<refusal>(response.reason)));
     registry_.counter_of("kingcupseam_requests_total", "Requests answered, by outcome", with_outcome).add();
     registry_
-        .histogram_of("kingcupseam_request_seconds", "Time from arrival at the entry to the answer", tags)
+        .histogram_of("kingcupseam_request_seconds", "Time from arrival at the entry to the answer", labels)
         .record(static_cast<std::uint64_t>((steady_now() - it.arrived).count()));
 }
 
--- a/src/metrics/registry.cpp
+++ b/src/metrics/registry.cpp
@@ -29,9 +29,9 @@
     }
 }
 
-void check_names(const std::string& name, const labels& tags) {
+void check_names(const std::string& name, const label_set& labels) {
     check_name(name);
-    for (const auto& [label, value] : tags) {
+    for (const auto& [label, value] : labels) {
         check_name(label);
     }
 }
@@ -51,9 +51,9 @@
     return result;
 }
 
-std::string braces(const labels& tags, const std::string& bound = "") {
+std::string braces(const label_set& labels, const std::string& bound = "") {
     std::string result;
-    for (const auto& [label, value] : tags) {
+    for (const auto& [label, value] : labels) {
         result += (result.empty() ? "" : ",") + label + "=\"" + escaped(value, true) + "\"";
     }
     if (!bound.empty()) {
@@ -76,33 +76,33 @@
 void append_values(std::string& out, const Families& families, const char* kind) {
     for (const auto& [name, family] : families) {
         append_header(out, name, family.help, kind);
-        for (const auto& [tags, member] : family.members) {
-            out += name + braces(tags) + " " + std::to_string(member->value()) + "\n";
+        for (const auto& [labels, member] : family.members) {
+            out += name + braces(labels) + " " + std::to_string(member->value()) + "\n";
         }
     }
 }
 
-void append_histogram(std::string& out, const std::string& name, const labels& tags,
+void append_histogram(std::string& out, const std::string& name, const label_set& labels,
                       const histogram& source) {
     const auto counts = source.cumulative(exposed_bounds);
     // Values that arrive while the text is written must not make the total smaller than a bucket.
     const std::uint64_t total = std::max(source.count(), counts.back());
     for (std::size_t n = 0; n < counts.size(); ++n) {
         const auto bound = number(static_cast<double>(exposed_bounds[n]) / 1e6);
-        out += name + "_bucket" + braces(tags, bound) + " " + std::to_string(counts[n]) + "\n";
+        out += name + "_bucket" + braces(labels, bound) + " " + std::to_string(counts[n]) + "\n";
     }
-    out += name + "_bucket" + braces(tags, "+Inf") + " " + std::to_string(total) + "\n";
+    out += name + "_bucket" + braces(labels, "+Inf") + " " + std::to_string(total) + "\n";
     const double sum = source.mean() * static_cast<double>(total) / 1e6;
-    out += name + "_sum" + braces(tags) + " " + number(sum) + "\n";
-    out += name + "_count" + braces(tags) + " " + std::to_string(total) + "\n";
+    out += name + "_sum" + braces(labels) + " " + number(sum) + "\n";
+    out += name + "_count" + braces(labels) + " " + std::to_string(total) + "\n";
 }
 
 template <class T, class Family>
-T& member_of(Family& family, const std::string& help, const labels& tags) {
+T& member_of(Family& family, const std::string& help, const label_set& labels) {
     if (family.help.empty()) {
         family.help = help;
     }
-    auto& member = family.members[tags];
+    auto& member = family.members[labels];
     if (!member) {
         member = std::make_unique<T>();
     }
@@ -111,25 +111,25 @@
 
 } // namespace
 
-counter& registry::counter_of(const std::string& name, const std::string& help, const labels& tags) {
-    check_names(name, tags);
+counter& registry::counter_of(const std::string& name, const std::string& help, const label_set& labels) {
+    check_names(name, labels);
     const std::lock_guard lock(mutex_);
     check_free(gauges_.contains(name) || histograms_.contains(name), name);
-    return member_of<counter>(counters_[name], help, tags);
+    return member_of<counter>(counters_[name], help, labels);
 }
 
-gauge& registry::gauge_of(const std::string& name, const std::string& help, const labels& tags) {
-    check_names(name, tags);
+gauge& registry::gauge_of(const std::string& name, const std::string& help, const label_set& labels) {
+    check_names(name, labels);
     const std::lock_guard lock(mutex_);
     check_free(counters_.contains(name) || histograms_.contains(name), name);
-    return member_of<gauge>(gauges_[name], help, tags);
+    return member_of<gauge>(gauges_[name], help, labels);
 }
 
-histogram& registry::histogram_of(const std::string& name, const std::string& help, const labels& tags) {
-    check_names(name, tags);
+histogram& registry::histogram_of(const std::string& name, const std::string& help, const label_set& labels) {
+    check_names(name, labels);
     const std::lock_guard lock(mutex_);
     check_free(counters_.contains(name) || gauges_.contains(name), name);
-    return member_of<histogram>(histograms_[name], help, tags);
+    return member_of<histogram>(histograms_[name], help, labels);
 }
 
 std::string registry::prometheus_text() const {
@@ -139,8 +139,8 @@
     append_values(out, gauges_, "gauge");
     for (const auto& [name, group] : histograms_) {
         append_header(out, name, group.help, "histogram");
-        for (const auto& [tags, member] : group.members) {
-            append_histogram(out, name, tags, *member);
+        for (const auto& [labels, member] : group.members) {
+            append_histogram(out, name, labels, *member);
         }
     }
     return out;
