--- a/include/kingcupseam/profile.h
+++ b/include/kingcupseam/profile.h
@@ -65,8 +65,8 @@
 
 /// A matched request.
 struct match {
-    const service* target = nullptr;
-    const rule* matched = nullptr;
+    const service* matched_service = nullptr;
+    const rule* matched_rule = nullptr;
     std::string key;
 };
 
--- a/src/app/instance/entry.cpp
+++ b/src/app/instance/entry.cpp
@@ -76,7 +76,7 @@
         refuse(refusal::no_rule);
         return;
     }
-    const bool at_most_once = matched->matched->runs == execution::at_most_once;
+    const bool at_most_once = matched->matched_rule->runs == execution::at_most_once;
     if (at_most_once && key.empty()) {
         refuse(refusal::missing_idempotency_key);
         return;
@@ -85,7 +85,7 @@
         reply(refusal_answer(not_run_response(refusal::invalid_request))); // no instance accepts such a key
         return;
     }
-    if (request.body.size() > matched->matched->max_body_bytes) {
+    if (request.body.size() > matched->matched_rule->max_body_bytes) {
         refuse(refusal::invalid_request);
         return;
     }
@@ -98,13 +98,13 @@
     auto it = std::make_shared<in_flight_request>();
     it->reply = std::move(reply);
     it->arrived = steady_now();
-    it->deadline = it->arrived + matched.matched->deadline;
-    it->priority = matched.matched->priority;
-    it->request.service_name = matched.target->name;
-    it->request.shard = static_cast<std::int32_t>(shard_of(matched.key, matched.target->shards));
+    it->deadline = it->arrived + matched.matched_rule->deadline;
+    it->priority = matched.matched_rule->priority;
+    it->request.service_name = matched.matched_service->name;
+    it->request.shard = static_cast<std::int32_t>(shard_of(matched.key, matched.matched_service->shards));
     it->request.key = matched.key;
-    it->request.rank = static_cast<std::int8_t>(matched.matched->priority);
-    it->request.at_most_once = matched.matched->runs == execution::at_most_once;
+    it->request.rank = static_cast<std::int8_t>(matched.matched_rule->priority);
+    it->request.at_most_once = matched.matched_rule->runs == execution::at_most_once;
     it->request.method = request.method;
     it->request.target = request.target;
     it->request.body = request.body;
--- a/tests/profile/rule_index_test.cpp
+++ b/tests/profile/rule_index_test.cpp
@@ -35,12 +35,12 @@
     SUBCASE("by method and path, over all profiles") {
         const auto booking = index.find("POST", "/registry/rafts/raft-7/bookings");
         REQUIRE(booking);
-        CHECK(booking->target->name == "registry");
-        CHECK(booking->matched->runs == execution::at_most_once);
+        CHECK(booking->matched_service->name == "registry");
+        CHECK(booking->matched_rule->runs == execution::at_most_once);
         CHECK(booking->key == "raft-7");
         const auto invoice = index.find("POST", "/ledger/sites/s1/invoices");
         REQUIRE(invoice);
-        CHECK(invoice->target->shards == 1024);
+        CHECK(invoice->matched_service->shards == 1024);
         CHECK(index.profile_of("ledger")->name == "cairnmark");
         CHECK(index.profile_of("unknown") == nullptr);
     }
