--- a/src/types/types.cpp
+++ b/src/types/types.cpp
@@ -9,8 +9,8 @@
 namespace kingcupseam {
 
 time_point steady_now() noexcept {
-    // CLOCK_MONOTONIC stands still while a machine is suspended, so a lease judged by it would outlive its
-    // end.
+    // CLOCK_MONOTONIC stops while the machine is suspended, so a lease measured with it would be held after
+    // it has expired.
     timespec now{};
     clock_gettime(CLOCK_BOOTTIME, &now);
     return time_point(std::chrono::duration_cast<duration>(std::chrono::seconds(now.tv_sec) +
