--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -32,8 +32,8 @@
     }
 }
 
-/// The parser lets malformed characters and some control characters pass. They would later break the JSON
-/// answers and log lines that repeat the text.
+/// The parser accepts malformed UTF-8 and some control characters, which would break the JSON responses and
+/// log lines that quote the text.
 void check_characters(const std::string& source, std::string_view text) {
     std::size_t line = 1;
     while (!text.empty()) {
@@ -49,7 +49,7 @@
     }
 }
 
-/// The parser's message spans several lines and repeats the file; its first line says what is wrong.
+/// First line of a parser message. The other lines quote the file.
 std::string first_line(const std::string& message) {
     std::string line = message.substr(0, message.find('\n'));
     constexpr std::string_view prefix = "[error] ";
@@ -65,7 +65,7 @@
     } catch (const toml::exception& e) {
         throw invalid_input(source, "line " + std::to_string(e.location().line()), first_line(e.what()));
     } catch (const std::exception& e) {
-        // The parser reports some malformed numbers and characters with standard exceptions.
+        // The parser reports some malformed numbers and characters as standard exceptions.
         throw invalid_input(source, "text", first_line(e.what()));
     }
 }
@@ -77,29 +77,29 @@
         std::size_t diagonal = row[0];
         row[0] = i;
         for (std::size_t j = 1; j <= b.size(); ++j) {
-            const std::size_t changed = diagonal + (a[i - 1] == b[j - 1] ? 0 : 1);
+            const std::size_t substituted = diagonal + (a[i - 1] == b[j - 1] ? 0 : 1);
             diagonal = row[j];
-            row[j] = std::min({row[j] + 1, row[j - 1] + 1, changed});
+            row[j] = std::min({row[j] + 1, row[j - 1] + 1, substituted});
         }
     }
     return row[b.size()];
 }
 
-std::string nearest(const std::string& key, const std::set<std::string>& known) {
-    const auto closer = [&](const std::string& a, const std::string& b) {
+std::string most_similar(const std::string& key, const std::set<std::string>& known) {
+    const auto more_similar = [&](const std::string& a, const std::string& b) {
         return edit_distance(key, a) < edit_distance(key, b);
     };
-    const auto it = std::min_element(known.begin(), known.end(), closer);
+    const auto it = std::min_element(known.begin(), known.end(), more_similar);
     return it == known.end() ? "" : *it;
 }
 
-std::string short_number(double value) {
+std::string format_number(double value) {
     std::array<char, 32> buf{};
     std::snprintf(buf.data(), buf.size(), "%g", value);
     return buf.data();
 }
 
-/// A key from the file is shortened, since it becomes part of one line of the log.
+/// Truncates a key from the file and replaces its control characters, so that it fits into one log line.
 std::string printable(const std::string& key) {
     std::string result = key.substr(0, 64);
     std::replace_if(
@@ -111,12 +111,12 @@
 
 struct table::state {
     std::string source;
-    std::string prefix; ///< dotted path with a trailing dot, or empty for the root
+    std::string prefix; ///< dotted path of the table with a trailing dot; empty for the root
     toml::table values;
-    std::set<std::string> asked;
+    std::set<std::string> known_keys;
 
     const toml::value* find(const std::string& key) {
-        asked.insert(key);
+        known_keys.insert(key);
         const auto it = values.find(key);
         return it == values.end() ? nullptr : &it->second;
     }
@@ -175,7 +175,7 @@
 
 double table::real(const std::string& key, double min, double max, std::optional<double> fallback) const {
     const toml::value* const found = state_->find(key);
-    const std::string range = "must be a number of " + short_number(min) + " to " + short_number(max);
+    const std::string range = "must be a number of " + format_number(min) + " to " + format_number(max);
     if (found == nullptr) {
         return fallback ? *fallback : (fail(key, "is missing; " + range), 0.0);
     }
@@ -285,7 +285,7 @@
 std::vector<std::string> table::keys() const {
     std::vector<std::string> result;
     for (const auto& [key, value] : state_->values) {
-        state_->asked.insert(key);
+        state_->known_keys.insert(key);
         result.push_back(key);
     }
     std::sort(result.begin(), result.end());
@@ -293,16 +293,16 @@
 }
 
 void table::reject_unknown_keys() const {
-    // The table is unordered; the smallest unknown key is reported, so that the message is always the same.
+    // The table is unordered. Reporting the smallest unknown key makes the message deterministic.
     std::set<std::string> unknown;
     for (const auto& [key, value] : state_->values) {
-        if (!state_->asked.contains(key)) {
+        if (!state_->known_keys.contains(key)) {
             unknown.insert(key);
         }
     }
     if (!unknown.empty()) {
-        const std::string similar = nearest(*unknown.begin(), state_->asked);
-        fail(*unknown.begin(), "is not a known key; the nearest known key is " + similar);
+        const std::string suggestion = most_similar(*unknown.begin(), state_->known_keys);
+        fail(*unknown.begin(), "is not a known key; the nearest known key is " + suggestion);
     }
 }
 
