--- a/include/kingcupseam/settings.h
+++ b/include/kingcupseam/settings.h
@@ -12,7 +12,7 @@
 enum class routing_mode : std::uint8_t { gate, direct };
 enum class log_format : std::uint8_t { text, json };
 
-/// A member that the settings name: a seed, or an initial voter of the global group.
+/// An instance that the settings name as a seed.
 struct peer {
     std::string name;
     std::string data_center;
@@ -24,14 +24,14 @@
 struct instance_settings {
     std::string name;
     std::string data_center;
-    endpoint_address peer_listen;     ///< TCP and UDP, other instances
-    endpoint_address caller_listen;   ///< HTTP, callers
-    endpoint_address upstream_listen; ///< HTTP, announcing upstreams
-    endpoint_address operator_listen; ///< HTTP, operators and the platform
+    endpoint_address peer_listen;     ///< TCP and UDP, for other instances
+    endpoint_address caller_listen;   ///< HTTP, for callers
+    endpoint_address upstream_listen; ///< HTTP, for the announcements of upstreams
+    endpoint_address operator_listen; ///< HTTP, for operators and the platform
     std::string operator_token;
     std::optional<std::filesystem::path>
-        data_folder;                        ///< makes the instance a durable voter of the global group
-    std::vector<peer> seeds;                ///< instances to contact first, in any data centre
+        data_folder;         ///< stores the log of the global group; makes the instance a durable voter of it
+    std::vector<peer> seeds; ///< instances to contact at start, in any data centre
     std::vector<std::string> global_voters; ///< names of the initial voters of the global group
     std::uint32_t data_center_size = 3;     ///< configured number of instances of this data centre
     routing_mode routing = routing_mode::gate;
@@ -45,7 +45,7 @@
     bool operator==(const instance_settings&) const = default;
 };
 
-/// Every key is checked against its allowed range; an unknown key is an error.
+/// Checks each value against its allowed range and refuses unknown keys.
 /// @throws invalid_input
 instance_settings parse_settings(const std::string& source, const std::string& text);
 /// @throws io_error, invalid_input
