--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -28,6 +28,7 @@
     return settings::parse_settings("node.toml", text);
 }
 
+/// Error for the minimal settings followed by @p more, or "no failure".
 std::string problem_with(const std::string& more) {
     return failure_of([&] { parse(minimal + more); });
 }
@@ -38,8 +39,10 @@
 
 } // namespace
 
-TEST_CASE("an instance starts from a settings file") {
-    SUBCASE("the required keys alone give the documented defaults") {
+// Guards against defaults that change unnoticed, against a shipped example that no longer parses, and against
+// missing keys or files that go unreported.
+TEST_CASE("a settings file is parsed, and missing keys and files are reported") {
+    SUBCASE("a file with only the required keys gives the documented defaults") {
         const auto it = parse(minimal);
         CHECK(it.name == "a1");
         CHECK(it.caller_listen == endpoint_address{"127.0.0.1", 7101});
@@ -55,7 +58,7 @@
         CHECK(it.seeds[2].address.port == 7300);
         CHECK(it.data_folder == "/var/lib/kingcupseam");
     }
-    SUBCASE("every required key is missed by name") {
+    SUBCASE("the error for a missing required key names it") {
         for (const char* key : {"name", "data_center", "peer_listen", "caller_listen", "upstream_listen",
                                 "operator_listen", "operator_token"}) {
             std::string line("\n");
@@ -69,8 +72,9 @@
     }
 }
 
-TEST_CASE("a mistake in the settings is found before the instance serves") {
-    SUBCASE("a misspelt key names the one that was meant, also inside a seed") {
+// Guards against an instance that starts with a misspelt key or a value that it cannot use.
+TEST_CASE("misspelt keys and invalid values in the settings are refused") {
+    SUBCASE("the error for a misspelt key suggests the most similar one, also inside a seed") {
         CHECK(problem_with("grant_lease = 600\n") ==
               "node.toml: grant_lease: is not a known key; the nearest known key is grant_lease_ms");
         CHECK(problem_with(replaced(seed_b, "address", "adress")).rfind("node.toml: seeds[0].address: ", 0) ==
@@ -87,13 +91,14 @@
             CHECK(problem_with(std::string(line) + "\n").rfind("node.toml: " + key + ": must be", 0) == 0);
         }
     }
-    SUBCASE("an address that is not an IPv4 number with a port") {
+    SUBCASE("an address that is not an IPv4 address with a port") {
         for (const char* address : {"localhost:7100", "127.0.0.1", "127.0.0.1:0", "[::1]:80", "1.2.3:80"}) {
             const auto text = replaced(minimal, "127.0.0.1:7100", address);
             CHECK(failure_of([&] { parse(text); }).rfind("node.toml: peer_listen: ", 0) == 0);
         }
     }
-    SUBCASE("a name or a token that would break a header or a path") {
+    SUBCASE(
+        "a name or token with a space, which would break a header or a path, and a token that is too short") {
         CHECK(failure_of([&] { parse(replaced(minimal, "\"a1\"", "\"a 1\"")); }) ==
               "node.toml: name: must consist of [A-Za-z0-9._-]");
         CHECK(failure_of([&] {
@@ -105,27 +110,29 @@
     }
 }
 
+// Guards against values that are each in range and together stop the instance from working, such as a grant
+// that ends when a single renewal is lost.
 TEST_CASE("settings that contradict each other are refused") {
-    SUBCASE("one lost renewal would end every grant") {
+    SUBCASE("a grant interval at which one lost renewal would end every grant") {
         CHECK(problem_with("grant_interval_ms = 300\n").rfind("node.toml: grant_interval_ms: ", 0) == 0);
         CHECK(problem_with("grant_interval_ms = 299\n") == "no failure");
     }
-    SUBCASE("one late heartbeat would close every link") {
+    SUBCASE("a heartbeat timeout at which one late heartbeat would close every link") {
         CHECK(problem_with("heartbeat_timeout_ms = 199\n").rfind("node.toml: heartbeat_timeout_ms: ", 0) ==
               0);
         CHECK(problem_with("heartbeat_timeout_ms = 200\n") == "no failure");
     }
-    SUBCASE("a voter that no instance can find") {
+    SUBCASE("a voter that is not a seed, so that no instance could reach it, or that is listed twice") {
         CHECK(problem_with("global_voters = [\"b1\"]\n").rfind("node.toml: global_voters: ", 0) == 0);
         CHECK(problem_with("global_voters = [\"b1\"]\n" + seed_b) == "no failure");
         CHECK(problem_with("global_voters = [\"b1\", \"b1\"]\n" + seed_b) ==
               "node.toml: global_voters: names 'b1' twice");
     }
-    SUBCASE("an initial voter without a disk would forget its votes") {
+    SUBCASE("an initial voter without a data folder, which would lose its votes at a restart") {
         CHECK(problem_with("global_voters = [\"a1\"]\n").rfind("node.toml: data_folder: is missing", 0) == 0);
         CHECK(problem_with("global_voters = [\"a1\"]\ndata_folder = \"/data\"\n") == "no failure");
     }
-    SUBCASE("two listeners on one port, and a peer address that nobody can dial") {
+    SUBCASE("two listeners on one port, and a peer address to which nobody can connect") {
         CHECK(failure_of([&] {
                   parse(replaced(minimal, "7102", "7101"));
               }).rfind("node.toml: upstream_listen: ", 0) == 0);
@@ -133,7 +140,7 @@
                   parse(replaced(minimal, "127.0.0.1:7100", "0.0.0.0:7100"));
               }).rfind("node.toml: peer_listen: ", 0) == 0);
     }
-    SUBCASE("the seed list disagrees with the instance's own place or address") {
+    SUBCASE("a seed list that contradicts the instance's own data centre or address, or has a name twice") {
         const auto own = replaced(seed_b, "b1", "a1");
         CHECK(problem_with(own) ==
               "node.toml: seeds: gives this instance a data centre that differs from data_center");
@@ -147,8 +154,8 @@
 
 struct documented_key {
     std::string name;
-    std::string range;    ///< such as "50 to 60000"
-    std::string fallback; ///< a number
+    std::string range;         ///< such as "50 to 60000"
+    std::string default_value; ///< a number
 };
 
 /// Rows of the settings table in docs/operators.md whose default is a number.
@@ -168,12 +175,13 @@
 
 } // namespace
 
-TEST_CASE("the operators' page states the ranges and defaults of the code") {
+// Guards against ranges and defaults in docs/operators.md that differ from those of the code.
+TEST_CASE("docs/operators.md states the ranges and defaults of the code") {
     const auto keys = documented_numbers();
     CHECK(keys.size() == 6);
     for (const auto& it : keys) {
         CAPTURE(it.name);
-        CHECK(parse(minimal + it.name + " = " + it.fallback + "\n") == parse(minimal));
+        CHECK(parse(minimal + it.name + " = " + it.default_value + "\n") == parse(minimal));
         CHECK(problem_with(it.name + " = -1\n") ==
               "node.toml: " + it.name + ": must be an integer of " + it.range);
     }
