--- a/include/kingcupseam/metrics.h
+++ b/include/kingcupseam/metrics.h
@@ -11,6 +11,7 @@
 
 namespace kingcupseam::metrics {
 
+/// Names and values of the labels that distinguish the metrics of one name.
 using label_set = std::map<std::string, std::string>;
 
 class counter {
@@ -31,8 +32,8 @@
     std::atomic<std::int64_t> value_{0};
 };
 
-/// Latency histogram in microseconds with logarithmic buckets (8 per power of two); Boost.Accumulators keep
-/// mean, variance, minimum and maximum. Safe to use from several threads.
+/// Latency histogram in microseconds with logarithmic buckets, 8 per power of two. Mean, standard deviation
+/// and maximum are those of the recorded values, not of the buckets. Safe to use from several threads.
 class histogram {
 public:
     histogram();
@@ -46,10 +47,13 @@
     double standard_deviation() const;
     std::uint64_t max() const;
     /// @param fraction 0 to 1
-    /// @returns the upper bound of the bucket that holds the quantile, 0 when empty
+    /// @returns upper bound of the bucket that contains the quantile, the recorded maximum when the quantile
+    /// lies beyond the buckets, 0 when empty
     std::uint64_t quantile(double fraction) const;
-    /// Cumulative counts at the given upper bounds, for the Prometheus text.
+    /// For each of the @p bounds, the count of the values up to it. A bucket that extends beyond the bound is
+    /// left out, so the count is never too high.
     std::vector<std::uint64_t> cumulative(const std::vector<std::uint64_t>& bounds) const;
+    /// Adds the values that @p other has recorded.
     void merge(const histogram& other);
 
 private:
@@ -57,7 +61,9 @@
     std::unique_ptr<state> state_;
 };
 
-/// All metrics of a process. References stay valid for the registry's lifetime.
+/// All metrics of a process. Each *_of function returns the metric with the name and labels, and creates it
+/// at the first call; the reference stays valid for the lifetime of the registry.
+/// @throws invalid_input when a name is malformed, or is registered as another kind of metric
 class registry {
 public:
     counter& counter_of(const std::string& name, const std::string& help, const label_set& labels = {});
@@ -70,7 +76,7 @@
     template <class T>
     struct family {
         std::string help;
-        std::map<label_set, std::unique_ptr<T>> members;
+        std::map<label_set, std::unique_ptr<T>> metrics;
     };
 
     mutable std::mutex mutex_;
--- a/src/metrics/registry.cpp
+++ b/src/metrics/registry.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Bounds of the exposed buckets in microseconds, from 100 us to 10 s.
-const std::vector<std::uint64_t> exposed_bounds{100,       250,       500,       1'000,     2'500,   5'000,
-                                                10'000,    25'000,    50'000,    100'000,   250'000, 500'000,
-                                                1'000'000, 2'500'000, 5'000'000, 10'000'000};
+/// Upper bounds of the Prometheus buckets, from 100 us to 10 s.
+const std::vector<std::uint64_t> bucket_bounds_us{
+    100,    250,     500,     1'000,   2'500,     5'000,     10'000,    25'000,
+    50'000, 100'000, 250'000, 500'000, 1'000'000, 2'500'000, 5'000'000, 10'000'000};
 
 void check_name(const std::string& name) {
     const auto allowed = [](unsigned char c) { return std::isalnum(c) != 0 || c == '_' || c == ':'; };
@@ -23,8 +23,8 @@
     }
 }
 
-void check_free(bool taken, const std::string& name) {
-    if (taken) {
+void check_not_registered(bool registered, const std::string& name) {
+    if (registered) {
         throw invalid_input("metrics", name, "is already registered as another kind of metric");
     }
 }
@@ -36,12 +36,12 @@
     }
 }
 
-std::string escaped(std::string_view text, bool quotes) {
+std::string escape(std::string_view text, bool escape_quotes) {
     std::string result;
     for (const char c : text) {
         if (c == '\n') {
             result += "\\n";
-        } else if (c == '\\' || (quotes && c == '"')) {
+        } else if (c == '\\' || (escape_quotes && c == '"')) {
             result += '\\';
             result += c;
         } else {
@@ -51,62 +51,62 @@
     return result;
 }
 
-std::string braces(const label_set& labels, const std::string& bound = "") {
+std::string format_labels(const label_set& labels, const std::string& upper_bound = "") {
     std::string result;
     for (const auto& [label, value] : labels) {
-        result += (result.empty() ? "" : ",") + label + "=\"" + escaped(value, true) + "\"";
+        result += (result.empty() ? "" : ",") + label + "=\"" + escape(value, true) + "\"";
     }
-    if (!bound.empty()) {
-        result += (result.empty() ? "le=\"" : ",le=\"") + bound + "\"";
+    if (!upper_bound.empty()) {
+        result += (result.empty() ? "le=\"" : ",le=\"") + upper_bound + "\"";
     }
     return result.empty() ? result : "{" + result + "}";
 }
 
-std::string number(double value) {
+std::string format_number(double value) {
     std::array<char, 32> buf{};
     std::snprintf(buf.data(), buf.size(), "%.10g", value);
     return buf.data();
 }
 
 void append_header(std::string& out, const std::string& name, const std::string& help, const char* kind) {
-    out += "# HELP " + name + " " + escaped(help, false) + "\n# TYPE " + name + " " + kind + "\n";
+    out += "# HELP " + name + " " + escape(help, false) + "\n# TYPE " + name + " " + kind + "\n";
 }
 
 template <class Families>
 void append_values(std::string& out, const Families& families, const char* kind) {
     for (const auto& [name, family] : families) {
         append_header(out, name, family.help, kind);
-        for (const auto& [labels, member] : family.members) {
-            out += name + braces(labels) + " " + std::to_string(member->value()) + "\n";
+        for (const auto& [labels, metric] : family.metrics) {
+            out += name + format_labels(labels) + " " + std::to_string(metric->value()) + "\n";
         }
     }
 }
 
 void append_histogram(std::string& out, const std::string& name, const label_set& labels,
                       const histogram& source) {
-    const auto counts = source.cumulative(exposed_bounds);
-    // Values that arrive while the text is written must not make the total smaller than a bucket.
+    const auto counts = source.cumulative(bucket_bounds_us);
+    // Values recorded between the two calls must not make the total smaller than a bucket.
     const std::uint64_t total = std::max(source.count(), counts.back());
     for (std::size_t n = 0; n < counts.size(); ++n) {
-        const auto bound = number(static_cast<double>(exposed_bounds[n]) / 1e6);
-        out += name + "_bucket" + braces(labels, bound) + " " + std::to_string(counts[n]) + "\n";
+        const auto bound = format_number(static_cast<double>(bucket_bounds_us[n]) / 1e6);
+        out += name + "_bucket" + format_labels(labels, bound) + " " + std::to_string(counts[n]) + "\n";
     }
-    out += name + "_bucket" + braces(labels, "+Inf") + " " + std::to_string(total) + "\n";
+    out += name + "_bucket" + format_labels(labels, "+Inf") + " " + std::to_string(total) + "\n";
     const double sum = source.mean() * static_cast<double>(total) / 1e6;
-    out += name + "_sum" + braces(labels) + " " + number(sum) + "\n";
-    out += name + "_count" + braces(labels) + " " + std::to_string(total) + "\n";
+    out += name + "_sum" + format_labels(labels) + " " + format_number(sum) + "\n";
+    out += name + "_count" + format_labels(labels) + " " + std::to_string(total) + "\n";
 }
 
 template <class T, class Family>
-T& member_of(Family& family, const std::string& help, const label_set& labels) {
+T& find_or_create(Family& family, const std::string& help, const label_set& labels) {
     if (family.help.empty()) {
         family.help = help;
     }
-    auto& member = family.members[labels];
-    if (!member) {
-        member = std::make_unique<T>();
+    auto& metric = family.metrics[labels];
+    if (!metric) {
+        metric = std::make_unique<T>();
     }
-    return *member;
+    return *metric;
 }
 
 } // namespace
@@ -114,22 +114,22 @@
 counter& registry::counter_of(const std::string& name, const std::string& help, const label_set& labels) {
     check_names(name, labels);
     const std::lock_guard lock(mutex_);
-    check_free(gauges_.contains(name) || histograms_.contains(name), name);
-    return member_of<counter>(counters_[name], help, labels);
+    check_not_registered(gauges_.contains(name) || histograms_.contains(name), name);
+    return find_or_create<counter>(counters_[name], help, labels);
 }
 
 gauge& registry::gauge_of(const std::string& name, const std::string& help, const label_set& labels) {
     check_names(name, labels);
     const std::lock_guard lock(mutex_);
-    check_free(counters_.contains(name) || histograms_.contains(name), name);
-    return member_of<gauge>(gauges_[name], help, labels);
+    check_not_registered(counters_.contains(name) || histograms_.contains(name), name);
+    return find_or_create<gauge>(gauges_[name], help, labels);
 }
 
 histogram& registry::histogram_of(const std::string& name, const std::string& help, const label_set& labels) {
     check_names(name, labels);
     const std::lock_guard lock(mutex_);
-    check_free(counters_.contains(name) || gauges_.contains(name), name);
-    return member_of<histogram>(histograms_[name], help, labels);
+    check_not_registered(counters_.contains(name) || gauges_.contains(name), name);
+    return find_or_create<histogram>(histograms_[name], help, labels);
 }
 
 std::string registry::prometheus_text() const {
@@ -139,8 +139,8 @@
     append_values(out, gauges_, "gauge");
     for (const auto& [name, group] : histograms_) {
         append_header(out, name, group.help, "histogram");
-        for (const auto& [labels, member] : group.members) {
-            append_histogram(out, name, labels, *member);
+        for (const auto& [labels, metric] : group.metrics) {
+            append_histogram(out, name, labels, *metric);
         }
     }
     return out;
