--- a/src/metrics/histogram.cpp
+++ b/src/metrics/histogram.cpp
@@ -50,11 +50,11 @@
 using accumulator = acc::accumulator_set<
     double, acc::stats<acc::tag::count, acc::tag::mean, acc::tag::variance, acc::tag::min, acc::tag::max>>;
 
-/// Mean and variance in a form that can be merged, which accumulators cannot.
+/// Summary statistics that can be merged, unlike a Boost accumulator_set.
 struct moments {
     std::uint64_t count = 0;
     double mean = 0;
-    double squares = 0; ///< sum of squared distances from the mean
+    double squared_deviations = 0; ///< sum of the squared deviations from the mean
     std::uint64_t min = std::numeric_limits<std::uint64_t>::max();
     std::uint64_t max = 0;
 
@@ -66,7 +66,7 @@
         const auto m = static_cast<double>(other.count);
         const double delta = other.mean - mean;
         mean += delta * m / (n + m);
-        squares += other.squares + delta * delta * n * m / (n + m);
+        squared_deviations += other.squared_deviations + delta * delta * n * m / (n + m);
         count += other.count;
         min = std::min(min, other.min);
         max = std::max(max, other.max);
@@ -91,8 +91,8 @@
 
 std::size_t stripe_of_this_thread() noexcept {
     static std::atomic<std::size_t> next{0};
-    thread_local const std::size_t mine = next.fetch_add(1, std::memory_order_relaxed) % stripe_count;
-    return mine;
+    thread_local const std::size_t assigned = next.fetch_add(1, std::memory_order_relaxed) % stripe_count;
+    return assigned;
 }
 
 struct totals {
@@ -105,7 +105,7 @@
 struct histogram::state {
     std::array<stripe, stripe_count> stripes;
     mutable std::mutex merged_mutex;
-    totals merged; ///< what merge() took from other histograms
+    totals merged; ///< sum of the histograms passed to merge()
 
     totals collect() const {
         totals result;
@@ -128,10 +128,10 @@
 histogram::~histogram() = default;
 
 void histogram::record(std::uint64_t microseconds) {
-    stripe& mine = state_->stripes[stripe_of_this_thread()];
-    const std::lock_guard lock(mine.mutex);
-    ++mine.buckets[bucket_of(microseconds)];
-    mine.values(static_cast<double>(microseconds));
+    stripe& own = state_->stripes[stripe_of_this_thread()];
+    const std::lock_guard lock(own.mutex);
+    ++own.buckets[bucket_of(microseconds)];
+    own.values(static_cast<double>(microseconds));
 }
 
 std::uint64_t histogram::count() const {
@@ -144,7 +144,8 @@
 
 double histogram::standard_deviation() const {
     const moments summary = state_->collect().summary;
-    return summary.count == 0 ? 0 : std::sqrt(summary.squares / static_cast<double>(summary.count));
+    return summary.count == 0 ? 0
+                              : std::sqrt(summary.squared_deviations / static_cast<double>(summary.count));
 }
 
 std::uint64_t histogram::max() const {
@@ -156,12 +157,12 @@
     if (all.summary.count == 0) {
         return 0;
     }
-    const double wanted = std::clamp(fraction, 0.0, 1.0) * static_cast<double>(all.summary.count);
-    const auto position = std::max<std::uint64_t>(1, static_cast<std::uint64_t>(std::ceil(wanted)));
-    std::uint64_t seen = 0;
+    const double exact_position = std::clamp(fraction, 0.0, 1.0) * static_cast<double>(all.summary.count);
+    const auto position = std::max<std::uint64_t>(1, static_cast<std::uint64_t>(std::ceil(exact_position)));
+    std::uint64_t cumulative_count = 0;
     for (std::size_t n = 0; n < overflow_bucket; ++n) {
-        seen += all.buckets[n];
-        if (seen >= position) {
+        cumulative_count += all.buckets[n];
+        if (cumulative_count >= position) {
             return upper_bound_of(n);
         }
     }
@@ -174,7 +175,7 @@
     result.reserve(bounds.size());
     for (const std::uint64_t bound : bounds) {
         std::uint64_t n = 0;
-        // A bucket that straddles the bound counts above it, so the result never overstates.
+        // A bucket that straddles the bound is left out, so the count is never too high.
         for (std::size_t it = 0; it < bucket_count && upper_bound_of(it) <= bound; ++it) {
             n += all.buckets[it];
         }
@@ -184,12 +185,12 @@
 }
 
 void histogram::merge(const histogram& other) {
-    const totals theirs = other.state_->collect();
+    const totals added = other.state_->collect();
     const std::lock_guard lock(state_->merged_mutex);
     for (std::size_t n = 0; n < bucket_count; ++n) {
-        state_->merged.buckets[n] += theirs.buckets[n];
+        state_->merged.buckets[n] += added.buckets[n];
     }
-    state_->merged.summary.merge(theirs.summary);
+    state_->merged.summary.merge(added.summary);
 }
 
 } // namespace kingcupseam::metrics
