--- a/tests/metrics/metrics_test.cpp
+++ b/tests/metrics/metrics_test.cpp
@@ -8,10 +8,12 @@
 
 using namespace kingcupseam;
 
-TEST_CASE("a histogram describes latencies that several threads record") {
+// Guards against wrong statistics, and against values lost when several threads record or when histograms are
+// merged.
+TEST_CASE("a histogram reports the statistics of the values recorded by several threads") {
     metrics::histogram latencies;
 
-    SUBCASE("an empty one reports zeros, so a fresh instance shows no invented latency") {
+    SUBCASE("an empty histogram reports zeros, as on a new instance") {
         CHECK(latencies.count() == 0);
         CHECK(latencies.quantile(0.99) == 0);
         CHECK(latencies.mean() == 0);
@@ -35,7 +37,7 @@
                 CHECK(n <= exact * 1.125 + 1);
             }
         }
-        SUBCASE("cumulative counts grow and do not overstate") {
+        SUBCASE("cumulative counts are never too high") {
             const auto counts = latencies.cumulative({7, 100, 1000, 10'000});
             CHECK(counts[0] == 7);
             CHECK(counts[1] <= 100);
@@ -56,13 +58,13 @@
             CHECK(latencies.quantile(0.25) <= 575);
         }
     }
-    SUBCASE("values beyond the last bucket are kept as the maximum instead of overrunning the buckets") {
+    SUBCASE("a value beyond the buckets is reported as the maximum and does not index past their end") {
         const std::uint64_t huge = std::uint64_t{1} << 40;
         latencies.record(huge);
         CHECK(latencies.quantile(0.5) == huge);
     }
     SUBCASE("no value is lost when threads record at the same time") {
-        // More threads than stripes, started together and for long enough to run at the same time.
+        // More threads than stripes, started together and running long enough to overlap.
         constexpr std::uint64_t per_thread = 200'000;
         std::latch start(8);
         std::vector<std::thread> threads;
@@ -83,16 +85,17 @@
     }
 }
 
-TEST_CASE("a registry shows its metrics as Prometheus text") {
+// Guards against text that Prometheus cannot parse and against two metrics where one was meant.
+TEST_CASE("a registry formats its metrics in the Prometheus text format") {
     metrics::registry registry;
     auto& served = registry.counter_of("served_total", "Requests served", {{"rank", "urgent"}});
     served.add(3);
 
-    SUBCASE("asking again gives the same metric, so that two callers do not count apart") {
+    SUBCASE("the same name and labels give the same metric, so that two users add to one count") {
         CHECK(&registry.counter_of("served_total", "Requests served", {{"rank", "urgent"}}) == &served);
         CHECK(&registry.counter_of("served_total", "Requests served", {{"rank", "standard"}}) != &served);
     }
-    SUBCASE("counters and gauges") {
+    SUBCASE("counters and gauges have a type line and their value") {
         registry.gauge_of("waiting", "Waiting requests").set(-2);
         const std::string text = registry.prometheus_text();
         CHECK(text.find("# TYPE served_total counter\nserved_total{rank=\"urgent\"} 3\n") !=
@@ -110,11 +113,11 @@
         CHECK(text.find("latency_seconds_sum{rank=\"urgent\"} 20.0009\n") != std::string::npos);
         CHECK(text.find("latency_seconds_count{rank=\"urgent\"} 2\n") != std::string::npos);
     }
-    SUBCASE("label values are escaped, so a name with a quote cannot break the page") {
+    SUBCASE("label values are escaped, so that a quote in a name cannot break the text") {
         registry.gauge_of("up", "Up", {{"name", "a\"b\\c\nd"}}).set(1);
         CHECK(registry.prometheus_text().find(R"(up{name="a\"b\\c\nd"} 1)") != std::string::npos);
     }
-    SUBCASE("names that scrapers would refuse, and a name of two kinds, are errors") {
+    SUBCASE("names that Prometheus refuses, and one name for two kinds of metric, are errors") {
         CHECK_THROWS_AS(registry.counter_of("bad-name", "x"), invalid_input);
         CHECK_THROWS_AS(registry.counter_of("1st", "x"), invalid_input);
         CHECK_THROWS_AS(registry.gauge_of("served_total", "x"), invalid_input);
