--- a/include/kingcupseam/profile.h
+++ b/include/kingcupseam/profile.h
@@ -14,10 +14,10 @@
 
 namespace kingcupseam::profile {
 
-/// How requests of one method and path pattern are treated.
+/// How requests that match a method and a path pattern are handled.
 struct rule {
     std::string method;
-    std::string path; ///< literal segments, with {key} for the key and {any} for any other segment
+    std::string path; ///< path pattern: literal segments, {key} for the key, {any} for any other segment
     rank priority = rank::urgent;
     execution runs = execution::idempotent;
     duration deadline = std::chrono::milliseconds(1000);
@@ -39,7 +39,7 @@
     auto operator<=>(const retry_settings&) const = default;
 };
 
-/// One service that runs under the profile.
+/// A service and the rules of its requests.
 struct service {
     std::string name;
     std::uint32_t shards = 4096;
@@ -47,48 +47,49 @@
     bool operator==(const service&) const = default;
 };
 
-/// A named description of how work is treated. Immutable once parsed.
+/// Named set of services with the rules and limits for their requests. Immutable once parsed.
 struct profile {
     std::string name;
     std::vector<service> services;
     std::array<rank_settings, rank_count> ranks{};
     retry_settings retries;
     duration ledger_retention = std::chrono::minutes(10);
-    /// Longer than the cuts that are expected, so that a data centre that is cut off goes on serving.
+    /// How long the shards of an unreachable data centre stay assigned to it. Longer than the expected
+    /// network partitions, so that a data centre that is cut off goes on serving.
     duration home_hold = std::chrono::hours(2);
     bool operator==(const profile&) const = default;
 };
 
-/// @param source file name for errors
-/// @throws invalid_input with the key and the allowed range
+/// @param source file name for error messages
+/// @throws invalid_input naming the key and its allowed range
 profile parse_profile(const std::string& source, const std::string& text);
 
-/// A matched request.
+/// Service and rule that a request matches, and the key in its path.
 struct match {
     const service* matched_service = nullptr;
     const rule* matched_rule = nullptr;
     std::string key;
 };
 
-/// Profile in force, as one version of its text.
+/// One accepted version of a profile.
 struct accepted_profile {
     std::string name;
     std::uint64_t version = 0;
-    std::string content;
-    std::string change_id;
+    std::string content;   ///< TOML text
+    std::string change_id; ///< of the change that created this version
     auto operator<=>(const accepted_profile&) const = default;
 };
 
-/// Index over all accepted profiles for the entry role; immutable.
+/// Immutable index of the rules of all accepted profiles, with which an entry matches requests.
 class rule_index {
 public:
     /// @throws invalid_input when a profile is invalid, or two profiles share a service or match one request
     explicit rule_index(const std::vector<accepted_profile>& profiles);
-    /// Literal segments are compared as sent; the key is percent-decoded. A key that is empty, is a dot
-    /// segment, or is not plain text once decoded does not match, since it is passed on in a header.
+    /// Compares literal segments as sent and percent-decodes the key. A key that is empty, a dot segment, too
+    /// long or not plain text after decoding does not match, since it is forwarded in a header.
     /// @param path path without the query
     std::optional<match> find(std::string_view method, std::string_view path) const;
-    /// The profile that a service runs under; null when none.
+    /// The profile that contains the service; null when there is none.
     const profile* profile_of(const std::string& service) const;
     bool empty() const noexcept;
 
@@ -97,10 +98,10 @@
     std::shared_ptr<const state> state_;
 };
 
-/// A request to accept new content for a profile.
+/// Proposal of new content for a profile.
 struct change {
     std::string name;
-    std::uint64_t base_version = 0; ///< version that the operator saw; 0 for a new profile
+    std::uint64_t base_version = 0; ///< version that the operator edited; 0 for a new profile
     std::string change_id;
     std::string content;
     auto operator<=>(const change&) const = default;
@@ -110,26 +111,26 @@
 
 struct change_result {
     change_status status = change_status::invalid;
-    accepted_profile in_force; ///< after acceptance the new one; on conflict the one that won
-    std::string problem;
+    accepted_profile in_force; ///< the new version when accepted, the winning one on a conflict
+    std::string problem;       ///< reason when not accepted
     auto operator<=>(const change_result&) const = default;
 };
 
-/// Limits of the store, so that its snapshot stays small.
+/// Limits of the store, which keep its snapshot small.
 inline constexpr std::size_t max_profiles = 64;
 inline constexpr std::size_t max_content_bytes = 65'536;
 inline constexpr std::size_t max_remembered_changes = 1024;
 
-/// Deterministic compare-and-set store; part of the global group's state machine. Remembers the last 1,024
-/// change ids, so that a resent change gets the answer of the first. The number of shards of a service is
-/// fixed by the first accepted profile that names it.
+/// Deterministic compare-and-set store of the accepted profiles; part of the global group's replicated state
+/// machine. Remembers the results of up to max_remembered_changes changes, so that a resent change gets
+/// the result of its first attempt. The first accepted profile with a service fixes its number of shards.
 class store {
 public:
     store();
-    /// @returns conflict when base_version is not the version in force; invalid when the content is not a
-    /// valid profile of that name, shares a service or a request with another profile, changes the number of
-    /// shards of a service, or when the change id was used for another change
-    change_result apply(const change& wanted);
+    /// @returns conflict when base_version is not the current version; invalid when the content is not a
+    /// valid profile of that name, has a service or matches a request of another profile, or changes the
+    /// number of shards of a service, or when the change id was used for another change
+    change_result apply(const change& proposed);
     std::vector<accepted_profile> all() const;
     std::optional<accepted_profile> find(const std::string& name) const;
     std::string encode() const;
@@ -141,25 +142,25 @@
         accepted_profile accepted;
         std::shared_ptr<const profile> parsed; ///< null when a later release no longer accepts the content
     };
-    /// An answer that was given. The content of an accepted change is left out: a resend brings it again, and
-    /// the digest shows that it is the same.
-    struct answer {
+    /// Result of an earlier change. The content of an accepted change is not stored: a resend contains it,
+    /// and the digest shows that it is the same.
+    struct remembered_change {
         std::string change_id;
         std::uint64_t digest = 0;
         change_result result;
     };
 
-    change_result decide(const change& wanted) const;
-    void check_against_others(const std::string& name, const profile& wanted) const;
-    void remember(const change& wanted, const change_result& result);
+    change_result decide(const change& proposed) const;
+    void check_against_others(const std::string& name, const profile& proposed) const;
+    void remember(const change& proposed, const change_result& result);
 
     std::map<std::string, entry> profiles_;
-    std::map<std::string, std::uint32_t> shard_counts_; ///< also of services that no profile names any more
-    std::deque<answer> recent_;                         ///< oldest first
-    std::size_t recent_bytes_ = 0;                      ///< of the contents in recent_
+    std::map<std::string, std::uint32_t> shard_counts_; ///< also of services that no profile has any more
+    std::deque<remembered_change> recent_;              ///< oldest first
+    std::size_t recent_bytes_ = 0;                      ///< total size of the contents in recent_
 };
 
-std::string encode(const change& wanted);
+std::string encode(const change& proposed);
 /// @throws invalid_input
 change decode_change(const std::string& bytes);
 
--- a/src/profile/store.cpp
+++ b/src/profile/store.cpp
@@ -12,23 +12,23 @@
 
 namespace {
 
-constexpr std::size_t max_change_id = 64;
-// Conflicts are remembered with the content that won. This bounds them in the snapshot; a change that was
-// forgotten early gets a conflict when it is resent, since its base version is no longer in force.
+constexpr std::size_t max_change_id_bytes = 64;
+// A remembered conflict includes the content that won; this limit bounds their size in the snapshot. A change
+// that is forgotten early gets a conflict when it is resent, since its base version is no longer current.
 constexpr std::size_t max_recent_bytes = 8'388'608;
-constexpr std::size_t max_services_ever = 4096;
+constexpr std::size_t max_distinct_services = 4096; // including services that were removed since
 
 bool valid_change_id(const std::string& id) {
-    return !id.empty() && id.size() <= max_change_id &&
+    return !id.empty() && id.size() <= max_change_id_bytes &&
            std::all_of(id.begin(), id.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
-std::uint64_t digest_of(const change& wanted) {
-    const std::string bytes = encode(wanted);
+std::uint64_t digest_of(const change& proposed) {
+    const std::string bytes = encode(proposed);
     return XXH3_64bits(bytes.data(), bytes.size());
 }
 
-change_result refused(const std::string& problem) {
+change_result invalid_result(const std::string& problem) {
     return {change_status::invalid, {}, problem};
 }
 
@@ -56,8 +56,8 @@
     try {
         return std::make_shared<const profile>(parse_profile(source.name, source.content));
     } catch (const invalid_input&) {
-        // The content was valid when it was accepted. A snapshot stays loadable when a later release is
-        // stricter; using the profile then fails in rule_index with the reason.
+        // The content was valid when it was accepted. A snapshot must stay readable when a later release is
+        // stricter; rule_index then reports the reason when the profile is used.
         return nullptr;
     }
 }
@@ -66,53 +66,53 @@
 
 store::store() = default;
 
-change_result store::apply(const change& wanted) {
-    if (!valid_change_id(wanted.change_id)) {
-        return refused("change_id must be 1 to 64 visible ASCII characters");
+change_result store::apply(const change& proposed) {
+    if (!valid_change_id(proposed.change_id)) {
+        return invalid_result("change_id must be 1 to 64 visible ASCII characters");
     }
-    const std::uint64_t digest = digest_of(wanted);
+    const std::uint64_t digest = digest_of(proposed);
     for (const auto& it : recent_) {
-        if (it.change_id != wanted.change_id) {
+        if (it.change_id != proposed.change_id) {
             continue;
         }
         if (it.digest != digest) {
-            return refused("change_id was already used for another change");
+            return invalid_result("change_id was already used for another change");
         }
         change_result result = it.result;
         if (result.status == change_status::accepted) {
-            result.in_force.content = wanted.content;
+            result.in_force.content = proposed.content;
         }
         return result;
     }
-    change_result result = decide(wanted);
+    change_result result = decide(proposed);
     if (result.status == change_status::accepted) {
         const auto parsed = try_parse(result.in_force);
         for (const auto& it : parsed->services) {
             shard_counts_.emplace(it.name, it.shards);
         }
-        profiles_[wanted.name] = {result.in_force, parsed};
+        profiles_[proposed.name] = {result.in_force, parsed};
     }
-    remember(wanted, result);
+    remember(proposed, result);
     return result;
 }
 
-change_result store::decide(const change& wanted) const {
-    const auto it = profiles_.find(wanted.name);
+change_result store::decide(const change& proposed) const {
+    const auto it = profiles_.find(proposed.name);
     const std::uint64_t version = it == profiles_.end() ? 0 : it->second.accepted.version;
-    if (wanted.base_version != version) {
+    if (proposed.base_version != version) {
         accepted_profile in_force = it == profiles_.end() ? accepted_profile{} : it->second.accepted;
         return {change_status::conflict, std::move(in_force), "base_version is not the version in force"};
     }
     try {
-        check_against_others(wanted.name, parse_profile(wanted.name, wanted.content));
+        check_against_others(proposed.name, parse_profile(proposed.name, proposed.content));
     } catch (const invalid_input& e) {
-        return refused(e.what());
+        return invalid_result(e.what());
     }
-    return {change_status::accepted, {wanted.name, version + 1, wanted.content, wanted.change_id}, ""};
+    return {change_status::accepted, {proposed.name, version + 1, proposed.content, proposed.change_id}, ""};
 }
 
-void store::check_against_others(const std::string& name, const profile& wanted) const {
-    if (wanted.name != name) {
+void store::check_against_others(const std::string& name, const profile& proposed) const {
+    if (proposed.name != name) {
         throw invalid_input(name, "name", "must be the name under which the profile is accepted");
     }
     std::size_t others = 0;
@@ -121,36 +121,36 @@
             continue;
         }
         ++others;
-        for (const auto& theirs : other.parsed ? other.parsed->services : std::vector<service>{}) {
-            for (const auto& ours : wanted.services) {
-                if (theirs.name == ours.name) {
-                    throw invalid_input(wanted.name, ours.name,
+        for (const auto& other_service : other.parsed ? other.parsed->services : std::vector<service>{}) {
+            for (const auto& own_service : proposed.services) {
+                if (other_service.name == own_service.name) {
+                    throw invalid_input(proposed.name, own_service.name,
                                         "is already a service of profile " + other_name);
                 }
-                check_disjoint(wanted.name, theirs, ours);
+                check_disjoint(proposed.name, other_service, own_service);
             }
         }
     }
     if (others >= max_profiles) {
-        throw invalid_input(wanted.name, "name", "there are already 64 profiles");
+        throw invalid_input(proposed.name, "name", "there are already 64 profiles");
     }
-    std::size_t fresh = 0;
-    for (const auto& it : wanted.services) {
+    std::size_t new_services = 0;
+    for (const auto& it : proposed.services) {
         const auto known = shard_counts_.find(it.name);
-        fresh += known == shard_counts_.end() ? 1 : 0;
+        new_services += known == shard_counts_.end() ? 1 : 0;
         if (known != shard_counts_.end() && known->second != it.shards) {
-            throw invalid_input(wanted.name, it.name + ".shards",
+            throw invalid_input(proposed.name, it.name + ".shards",
                                 "is fixed at " + std::to_string(known->second) +
                                     " since the service was first accepted");
         }
     }
-    if (shard_counts_.size() + fresh > max_services_ever) {
-        throw invalid_input(wanted.name, "services", "the system has had 4096 services already");
+    if (shard_counts_.size() + new_services > max_distinct_services) {
+        throw invalid_input(proposed.name, "services", "the system has had 4096 services already");
     }
 }
 
-void store::remember(const change& wanted, const change_result& result) {
-    answer kept{wanted.change_id, digest_of(wanted), result};
+void store::remember(const change& proposed, const change_result& result) {
+    remembered_change kept{proposed.change_id, digest_of(proposed), result};
     if (result.status == change_status::accepted) {
         kept.result.in_force.content.clear();
     }
@@ -216,12 +216,12 @@
     return result;
 }
 
-std::string encode(const change& wanted) {
+std::string encode(const change& proposed) {
     wire::ProfileChange out;
-    out.name = wanted.name;
-    out.base_version = static_cast<std::int64_t>(wanted.base_version);
-    out.change_id = wanted.change_id;
-    out.content = wanted.content;
+    out.name = proposed.name;
+    out.base_version = static_cast<std::int64_t>(proposed.base_version);
+    out.change_id = proposed.change_id;
+    out.content = proposed.content;
     return wire::to_bytes(out);
 }
 
