--- a/src/profile/pattern.cpp
+++ b/src/profile/pattern.cpp
@@ -33,8 +33,8 @@
         return false;
     }
     for (std::size_t n = 0; n < left.count; ++n) {
-        const bool literal = !is_placeholder(left.items[n]) && !is_placeholder(right.items[n]);
-        if (literal && left.items[n] != right.items[n]) {
+        const bool both_literal = !is_placeholder(left.items[n]) && !is_placeholder(right.items[n]);
+        if (both_literal && left.items[n] != right.items[n]) {
             return false;
         }
     }
