--- a/src/profile/parse.cpp
+++ b/src/profile/parse.cpp
@@ -13,28 +13,29 @@
 
 using config::table;
 
-constexpr std::size_t max_services = 16;
-constexpr std::size_t max_rules = 64;
-// Urgent work is served first; what the shares leave free is what it can count on during a flood.
+constexpr std::size_t max_services_per_profile = 16;
+constexpr std::size_t max_rules_per_service = 64;
+// Urgent requests are served first. The capacity outside the guaranteed shares is what they can rely on
+// during a flood.
 constexpr double max_share_sum = 0.9;
 
-const std::vector<std::string>& methods() {
+const std::vector<std::string>& allowed_methods() {
     static const std::vector<std::string> names{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"};
     return names;
 }
 
-std::string read_name(const table& source, const std::string& key) {
-    std::string name = source.string(key, 1, 64);
+std::string read_name(const table& input, const std::string& key) {
+    std::string name = input.string(key, 1, 64);
     const auto allowed = [](unsigned char c) {
         return std::isalnum(c) != 0 || c == '.' || c == '_' || c == '-';
     };
     if (!std::all_of(name.begin(), name.end(), allowed)) {
-        source.fail(key, "must consist of [A-Za-z0-9._-]");
+        input.fail(key, "must consist of [A-Za-z0-9._-]");
     }
     return name;
 }
 
-bool valid_literal(std::string_view segment) {
+bool is_valid_literal(std::string_view segment) {
     const auto allowed = [](unsigned char c) {
         return std::isalnum(c) != 0 ||
                std::string_view("-._~!$&'()*+,;=:@").find(static_cast<char>(c)) != std::string_view::npos;
@@ -43,64 +44,64 @@
            std::all_of(segment.begin(), segment.end(), allowed);
 }
 
-std::string read_path(const table& source) {
-    std::string path = source.string("path", 2, 512);
+std::string read_path(const table& input) {
+    std::string path = input.string("path", 2, 512);
     const segment_list segments = split_path(path);
     if (segments.count == 0) {
-        source.fail("path",
-                    "must start with / and have at most " + std::to_string(max_segments) + " segments");
+        input.fail("path",
+                   "must start with / and have at most " + std::to_string(max_segments) + " segments");
     }
-    std::size_t keys = 0;
+    std::size_t key_count = 0;
     for (std::size_t n = 0; n < segments.count; ++n) {
         const std::string_view it = segments.items[n];
-        keys += it == key_placeholder ? 1 : 0;
-        if (!is_placeholder(it) && !valid_literal(it)) {
-            source.fail("path", "a segment must be {key}, {any} or unescaped path characters");
+        key_count += it == key_placeholder ? 1 : 0;
+        if (!is_placeholder(it) && !is_valid_literal(it)) {
+            input.fail("path", "a segment must be {key}, {any} or unescaped path characters");
         }
     }
-    if (keys != 1) {
-        source.fail("path", "must have exactly one {key}");
+    if (key_count != 1) {
+        input.fail("path", "must have exactly one {key}");
     }
     return path;
 }
 
-rule read_rule(const table& source) {
+rule read_rule(const table& input) {
     rule result;
-    result.method = methods()[source.choice("method", methods())];
-    result.path = read_path(source);
-    result.priority = static_cast<rank>(source.choice("rank", {"urgent", "standard", "deferrable"}));
-    result.runs = static_cast<execution>(source.choice("runs", {"idempotent", "at-most-once"}));
-    result.deadline = source.milliseconds("deadline_ms", 1, 60'000, result.deadline);
+    result.method = allowed_methods()[input.choice("method", allowed_methods())];
+    result.path = read_path(input);
+    result.priority = static_cast<rank>(input.choice("rank", {"urgent", "standard", "deferrable"}));
+    result.runs = static_cast<execution>(input.choice("runs", {"idempotent", "at-most-once"}));
+    result.deadline = input.milliseconds("deadline_ms", 1, 60'000, result.deadline);
     result.max_body_bytes = static_cast<std::size_t>(
-        source.integer("max_body_bytes", 0, 1'048'576, static_cast<std::int64_t>(result.max_body_bytes)));
-    source.reject_unknown_keys();
+        input.integer("max_body_bytes", 0, 1'048'576, static_cast<std::int64_t>(result.max_body_bytes)));
+    input.reject_unknown_keys();
     return result;
 }
 
-service read_service(const table& source) {
+service read_service(const table& input) {
     service result;
-    result.name = read_name(source, "name");
+    result.name = read_name(input, "name");
     result.shards =
-        static_cast<std::uint32_t>(source.integer("shards", 1, 65'536, std::int64_t{result.shards}));
-    const auto rules = source.tables("rules");
-    if (rules.empty() || rules.size() > max_rules) {
-        source.fail("rules", "must have 1 to " + std::to_string(max_rules) + " entries");
+        static_cast<std::uint32_t>(input.integer("shards", 1, 65'536, std::int64_t{result.shards}));
+    const auto rules = input.tables("rules");
+    if (rules.empty() || rules.size() > max_rules_per_service) {
+        input.fail("rules", "must have 1 to " + std::to_string(max_rules_per_service) + " entries");
     }
     for (const auto& it : rules) {
         result.rules.push_back(read_rule(it));
     }
-    source.reject_unknown_keys();
+    input.reject_unknown_keys();
     return result;
 }
 
 std::vector<service> read_services(const table& root) {
-    const auto rows = root.tables("services");
-    if (rows.empty() || rows.size() > max_services) {
-        root.fail("services", "must have 1 to " + std::to_string(max_services) + " entries");
+    const auto entries = root.tables("services");
+    if (entries.empty() || entries.size() > max_services_per_profile) {
+        root.fail("services", "must have 1 to " + std::to_string(max_services_per_profile) + " entries");
     }
     std::vector<service> result;
     std::set<std::string> names;
-    for (const auto& it : rows) {
+    for (const auto& it : entries) {
         result.push_back(read_service(it));
         if (!names.insert(result.back().name).second) {
             it.fail("name", "is used by two services");
@@ -117,12 +118,12 @@
     }
 }
 
-rank_settings read_rank(const table& source) {
+rank_settings read_rank(const table& input) {
     rank_settings result;
-    result.guaranteed_share = source.real("guaranteed_share", 0, max_share_sum, result.guaranteed_share);
-    result.max_waiting = static_cast<std::uint32_t>(
-        source.integer("max_waiting", 1, 65'536, std::int64_t{result.max_waiting}));
-    source.reject_unknown_keys();
+    result.guaranteed_share = input.real("guaranteed_share", 0, max_share_sum, result.guaranteed_share);
+    result.max_waiting =
+        static_cast<std::uint32_t>(input.integer("max_waiting", 1, 65'536, std::int64_t{result.max_waiting}));
+    input.reject_unknown_keys();
     return result;
 }
 
@@ -139,7 +140,7 @@
         sum += result.ranks[static_cast<std::size_t>(it)].guaranteed_share;
     }
     ranks->reject_unknown_keys();
-    // Shares are decimal fractions; their binary sum may exceed 0.9 by rounding only.
+    // The tolerance covers the rounding of decimal fractions in binary.
     if (sum > max_share_sum + 1e-9) {
         root.fail("ranks", "the guaranteed shares must sum to at most 0.9");
     }
@@ -150,22 +151,22 @@
     if (!retries) {
         return;
     }
-    retry_settings& it = result.retries;
-    it.budget_fraction = retries->real("budget_fraction", 0, 1, it.budget_fraction);
-    it.max_attempts =
-        static_cast<std::uint32_t>(retries->integer("max_attempts", 1, 10, std::int64_t{it.max_attempts}));
-    it.first_backoff = retries->milliseconds("first_backoff_ms", 1, 10'000, it.first_backoff);
-    it.max_backoff = retries->milliseconds("max_backoff_ms", 1, 60'000, it.max_backoff);
+    retry_settings& settings = result.retries;
+    settings.budget_fraction = retries->real("budget_fraction", 0, 1, settings.budget_fraction);
+    settings.max_attempts = static_cast<std::uint32_t>(
+        retries->integer("max_attempts", 1, 10, std::int64_t{settings.max_attempts}));
+    settings.first_backoff = retries->milliseconds("first_backoff_ms", 1, 10'000, settings.first_backoff);
+    settings.max_backoff = retries->milliseconds("max_backoff_ms", 1, 60'000, settings.max_backoff);
     retries->reject_unknown_keys();
-    if (it.first_backoff > it.max_backoff) {
+    if (settings.first_backoff > settings.max_backoff) {
         retries->fail("first_backoff_ms", "must be at most max_backoff_ms");
     }
 }
 
-void check_retention(const table& root, const profile& all) {
-    for (const auto& it : all.services) {
+void check_retention(const table& root, const profile& parsed) {
+    for (const auto& it : parsed.services) {
         for (const auto& rule : it.rules) {
-            if (rule.runs == execution::at_most_once && rule.deadline > all.ledger_retention) {
+            if (rule.runs == execution::at_most_once && rule.deadline > parsed.ledger_retention) {
                 root.fail("ledger_retention_s", "must cover the longest deadline of at-most-once work, or a "
                                                 "request could outlive its record");
             }
