--- a/src/profile/rule_index.cpp
+++ b/src/profile/rule_index.cpp
@@ -11,24 +11,24 @@
 
 namespace {
 
-/// Rules with literals at the same positions. A request is looked up once per shape that has its number of
-/// segments; real profiles have one or two shapes.
-struct shape {
+/// Positions of the literals and placeholders in a path pattern. Rules are indexed by shape, and a request is
+/// looked up once for each shape with its number of segments; real profiles have one or two shapes.
+struct pattern_shape {
     std::size_t segments = 0;
     std::uint32_t literals = 0; ///< bit n: segment n is a literal
     std::size_t key_position = 0;
-    bool operator==(const shape&) const = default;
+    bool operator==(const pattern_shape&) const = default;
 };
 
-struct target {
+struct indexed_rule {
     std::uint32_t shape_index = 0;
-    const service* owner = nullptr;
-    const rule* matched = nullptr;
-    segment_list segments; ///< views into matched->path
+    const service* owning_service = nullptr;
+    const rule* matched_rule = nullptr;
+    segment_list segments; ///< views into matched_rule->path
 };
 
-shape shape_of(const segment_list& segments) {
-    shape result{segments.count, 0, 0};
+pattern_shape shape_of(const segment_list& segments) {
+    pattern_shape result{segments.count, 0, 0};
     for (std::size_t n = 0; n < segments.count; ++n) {
         if (segments.items[n] == key_placeholder) {
             result.key_position = n;
@@ -39,20 +39,20 @@
     return result;
 }
 
-std::uint64_t hash_of(std::string_view method, const segment_list& segments, const shape& form,
+std::uint64_t hash_of(std::string_view method, const segment_list& segments, const pattern_shape& shape,
                       std::uint32_t shape_index) {
     std::uint64_t hash = XXH3_64bits_withSeed(method.data(), method.size(), shape_index);
-    for (std::size_t n = 0; n < form.segments; ++n) {
-        if ((form.literals >> n & 1U) != 0) {
+    for (std::size_t n = 0; n < shape.segments; ++n) {
+        if ((shape.literals >> n & 1U) != 0) {
             hash = XXH3_64bits_withSeed(segments.items[n].data(), segments.items[n].size(), hash);
         }
     }
     return hash;
 }
 
-bool literals_equal(const segment_list& request, const target& candidate, const shape& form) {
-    for (std::size_t n = 0; n < form.segments; ++n) {
-        if ((form.literals >> n & 1U) != 0 && request.items[n] != candidate.segments.items[n]) {
+bool literals_equal(const segment_list& request, const indexed_rule& candidate, const pattern_shape& shape) {
+    for (std::size_t n = 0; n < shape.segments; ++n) {
+        if ((shape.literals >> n & 1U) != 0 && request.items[n] != candidate.segments.items[n]) {
             return false;
         }
     }
@@ -67,7 +67,7 @@
     return lower >= 'a' && lower <= 'f' ? lower - 'a' + 10 : -1;
 }
 
-/// Empty when the escape sequences are malformed.
+/// nullopt when an escape sequence is malformed.
 std::optional<std::string> percent_decode(std::string_view text) {
     std::string result;
     result.reserve(text.size());
@@ -87,21 +87,22 @@
     return result;
 }
 
-// The key is sent to the upstream in a header; longer ones would exceed what HTTP servers commonly accept.
+// The key is forwarded to the upstream in a header. Longer keys would exceed the limits of common HTTP
+// servers.
 constexpr std::size_t max_key_bytes = 1024;
 
-bool dot_segment(std::string_view text) noexcept {
+bool is_dot_segment(std::string_view text) noexcept {
     return text == "." || text == "..";
 }
 
-bool usable_key(const std::string& key) noexcept {
-    return key.size() <= max_key_bytes && !dot_segment(key) && is_plain_text(key);
+bool is_valid_key(const std::string& key) noexcept {
+    return key.size() <= max_key_bytes && !is_dot_segment(key) && is_plain_text(key);
 }
 
-bool placeholders_filled(const segment_list& request, const shape& form) {
-    for (std::size_t n = 0; n < form.segments; ++n) {
+bool placeholders_match(const segment_list& request, const pattern_shape& shape) {
+    for (std::size_t n = 0; n < shape.segments; ++n) {
         const std::string_view it = request.items[n];
-        if ((form.literals >> n & 1U) == 0 && (it.empty() || dot_segment(it))) {
+        if ((shape.literals >> n & 1U) == 0 && (it.empty() || is_dot_segment(it))) {
             return false;
         }
     }
@@ -113,13 +114,14 @@
 struct rule_index::state {
     std::vector<profile> profiles;
     std::map<std::string, const profile*> by_service;
-    std::vector<shape> shapes;
-    std::unordered_multimap<std::uint64_t, target> rules;
+    std::vector<pattern_shape> shapes;
+    std::unordered_multimap<std::uint64_t, indexed_rule> rules;
 
     void check_profiles(const std::vector<accepted_profile>& sources);
-    void add(const service& owner);
-    std::uint32_t index_of(const shape& form);
-    const target* find(std::string_view method, const segment_list& request, std::uint32_t form) const;
+    void add(const service& owning_service);
+    std::uint32_t index_of(const pattern_shape& shape);
+    const indexed_rule* find(std::string_view method, const segment_list& request,
+                             std::uint32_t shape_index) const;
 };
 
 void rule_index::state::check_profiles(const std::vector<accepted_profile>& sources) {
@@ -137,33 +139,33 @@
     }
 }
 
-std::uint32_t rule_index::state::index_of(const shape& form) {
+std::uint32_t rule_index::state::index_of(const pattern_shape& shape) {
     for (std::size_t n = 0; n < shapes.size(); ++n) {
-        if (shapes[n] == form) {
+        if (shapes[n] == shape) {
             return static_cast<std::uint32_t>(n);
         }
     }
-    shapes.push_back(form);
+    shapes.push_back(shape);
     return static_cast<std::uint32_t>(shapes.size() - 1);
 }
 
-void rule_index::state::add(const service& owner) {
-    for (const auto& it : owner.rules) {
-        target entry{0, &owner, &it, split_path(it.path)};
-        const shape form = shape_of(entry.segments);
-        entry.shape_index = index_of(form);
-        rules.emplace(hash_of(it.method, entry.segments, form, entry.shape_index), entry);
+void rule_index::state::add(const service& owning_service) {
+    for (const auto& it : owning_service.rules) {
+        indexed_rule entry{0, &owning_service, &it, split_path(it.path)};
+        const pattern_shape shape = shape_of(entry.segments);
+        entry.shape_index = index_of(shape);
+        rules.emplace(hash_of(it.method, entry.segments, shape, entry.shape_index), entry);
     }
 }
 
-const target* rule_index::state::find(std::string_view method, const segment_list& request,
-                                      std::uint32_t form) const {
-    const shape& wanted = shapes[form];
-    const auto [first, last] = rules.equal_range(hash_of(method, request, wanted, form));
+const indexed_rule* rule_index::state::find(std::string_view method, const segment_list& request,
+                                            std::uint32_t shape_index) const {
+    const pattern_shape& shape = shapes[shape_index];
+    const auto [first, last] = rules.equal_range(hash_of(method, request, shape, shape_index));
     for (auto it = first; it != last; ++it) {
-        const target& candidate = it->second;
-        if (candidate.shape_index == form && candidate.matched->method == method &&
-            literals_equal(request, candidate, wanted)) {
+        const indexed_rule& candidate = it->second;
+        if (candidate.shape_index == shape_index && candidate.matched_rule->method == method &&
+            literals_equal(request, candidate, shape)) {
             return &candidate;
         }
     }
@@ -178,8 +180,8 @@
     }
     built->check_profiles(profiles);
     for (const auto& it : built->profiles) {
-        for (const auto& owner : it.services) {
-            built->add(owner);
+        for (const auto& service : it.services) {
+            built->add(service);
         }
     }
     state_ = std::move(built);
@@ -188,19 +190,19 @@
 std::optional<match> rule_index::find(std::string_view method, std::string_view path) const {
     const segment_list request = split_path(path);
     for (std::uint32_t n = 0; n < state_->shapes.size(); ++n) {
-        const shape& form = state_->shapes[n];
-        if (form.segments != request.count || !placeholders_filled(request, form)) {
+        const pattern_shape& shape = state_->shapes[n];
+        if (shape.segments != request.count || !placeholders_match(request, shape)) {
             continue;
         }
-        const target* const found = state_->find(method, request, n);
+        const indexed_rule* const found = state_->find(method, request, n);
         if (found == nullptr) {
             continue;
         }
-        auto key = percent_decode(request.items[form.key_position]);
-        if (!key || !usable_key(*key)) {
+        auto key = percent_decode(request.items[shape.key_position]);
+        if (!key || !is_valid_key(*key)) {
             return std::nullopt;
         }
-        return match{found->owner, found->matched, std::move(*key)};
+        return match{found->owning_service, found->matched_rule, std::move(*key)};
     }
     return std::nullopt;
 }
