--- a/include/kingcupseam/wire.h
+++ b/include/kingcupseam/wire.h
@@ -29,13 +29,13 @@
     return buffer->getBufferAsString();
 }
 
-/// Decodes the compact encoding. Unknown fields and bytes after the end are ignored.
+/// Decodes the compact encoding. Ignores unknown fields and trailing bytes.
 /// @throws malformed_payload
 template <class T>
 T from_bytes(std::string_view payload) {
     using apache::thrift::transport::TMemoryBuffer;
-    // A string of n bytes or list of n elements takes at least n bytes. Without the limit a few bytes could
-    // make the decoder reserve gigabytes.
+    // A string of n bytes or a list of n elements takes at least n bytes. Without this limit a payload of a
+    // few bytes could make the decoder allocate gigabytes.
     const auto limit = static_cast<std::int32_t>(
         std::clamp<std::size_t>(payload.size(), 1, std::numeric_limits<std::int32_t>::max()));
     // TMemoryBuffer takes a mutable pointer but only reads from it in OBSERVE mode.
@@ -55,8 +55,8 @@
     return value;
 }
 
-/// Decodes a stored or replicated value. Members must agree on it byte for byte, so only the exact encoding
-/// of to_bytes() is accepted: no unknown fields, no other order of fields and no bytes after the end.
+/// Decodes a stored or replicated value. All members must have the same bytes of it, so only the exact
+/// encoding of to_bytes() is accepted: no unknown fields, no other order of fields and no trailing bytes.
 /// @param source name of the value in error messages
 /// @throws invalid_input
 template <class T>
