--- a/tests/types/types_test.cpp
+++ b/tests/types/types_test.cpp
@@ -7,14 +7,16 @@
 
 using namespace kingcupseam;
 
-TEST_CASE("values shared by all libraries have one text form") {
-    SUBCASE("every rank parses back from its name") {
+// Guards against names that do not parse back or are ambiguous, endpoints with an invalid port, and keys
+// concentrated on a few shards.
+TEST_CASE("ranks, refusals and endpoints have unambiguous text forms, and keys spread over the shards") {
+    SUBCASE("every rank is parsed from its name") {
         for (const rank value : all_ranks) {
             CHECK(parse_rank("t", "f", to_string(value)) == value);
         }
         CHECK_THROWS_AS(parse_rank("t", "f", "soon"), invalid_input);
     }
-    SUBCASE("refusal names are distinct, so a caller can tell the reasons apart") {
+    SUBCASE("refusal names are distinct, so that a caller can tell the reasons apart") {
         std::set<std::string_view> names;
         for (int n = 0; n <= static_cast<int>(refusal::shutting_down); ++n) {
             names.insert(to_string(static_cast<refusal>(n)));
@@ -29,7 +31,7 @@
             CHECK_THROWS_AS(parse_endpoint("t", "f", text), invalid_input);
         }
     }
-    SUBCASE("shards of many keys are spread evenly") {
+    SUBCASE("many keys are spread evenly over the shards") {
         std::array<int, 16> counts{};
         for (int n = 0; n < 16000; ++n) {
             ++counts.at(shard_of("key-" + std::to_string(n), 16));
@@ -41,16 +43,17 @@
     }
 }
 
-TEST_CASE("text from outside is safe to repeat in headers and JSON") {
+// Guards against text from outside that breaks the header or JSON response in which it is quoted.
+TEST_CASE("is_plain_text refuses text that is unsafe in headers and JSON") {
     CHECK(is_plain_text("raft 7 d\xc3\xa9p\xc3\xb4t"));
     SUBCASE("a line break would split a header") {
         CHECK_FALSE(is_plain_text("a\r\nb"));
     }
-    SUBCASE("malformed UTF-8 would make a JSON answer fail") {
+    SUBCASE("malformed UTF-8 would make a JSON response fail") {
         CHECK_FALSE(is_plain_text("a\xff"));
         CHECK_FALSE(is_plain_text("a\xe2\x82"));
     }
-    SUBCASE("an empty text has no first character") {
+    SUBCASE("the length of the first character of an empty text is 0") {
         CHECK(utf8_length("") == 0);
     }
 }
