--- a/fuzz/settings_parse.cpp
+++ b/fuzz/settings_parse.cpp
@@ -5,7 +5,7 @@
 
 using namespace kingcupseam;
 
-// Settings are accepted or refused with a typed error, and accepted ones keep their ranges.
+// Settings are either accepted, with values in their ranges, or refused with invalid_input.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
     const std::string text(reinterpret_cast<const char*>(data), size);
     try {
