--- a/fuzz/profile_parse.cpp
+++ b/fuzz/profile_parse.cpp
@@ -5,8 +5,8 @@
 
 using namespace kingcupseam;
 
-// A profile is accepted or refused with a typed error, an accepted one can be indexed, and the decoders
-// refuse damaged bytes in the same way.
+// A profile is either accepted, and can then be indexed, or refused with invalid_input. The decoders of
+// stored values also either succeed or throw invalid_input.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
     const std::string text(reinterpret_cast<const char*>(data), size);
     try {
