--- a/tests/profile/rule_index_test.cpp
+++ b/tests/profile/rule_index_test.cpp
@@ -29,10 +29,12 @@
 
 } // namespace
 
-TEST_CASE("an entry finds the rule of a request") {
+// Guards against requests that are routed by the wrong rule or to the wrong shard, and against keys that are
+// unsafe in a header.
+TEST_CASE("a request is matched to its rule, service and key") {
     const rule_index index({shipped("navalsig"), shipped("cairnmark")});
 
-    SUBCASE("by method and path, over all profiles") {
+    SUBCASE("the method and the path select the rule among all profiles") {
         const auto booking = index.find("POST", "/registry/rafts/raft-7/bookings");
         REQUIRE(booking);
         CHECK(booking->matched_service->name == "registry");
@@ -44,7 +46,7 @@
         CHECK(index.profile_of("ledger")->name == "cairnmark");
         CHECK(index.profile_of("unknown") == nullptr);
     }
-    SUBCASE("nothing else matches, so no request reaches an upstream under the wrong rule") {
+    SUBCASE("other methods and paths match no rule") {
         CHECK_FALSE(index.find("GET", "/registry/rafts/raft-7/bookings"));
         CHECK_FALSE(index.find("get", "/registry/rafts/raft-7/history"));
         for (const char* path :
@@ -55,17 +57,17 @@
             CHECK_FALSE(index.find("GET", path));
         }
     }
-    SUBCASE("one key has one shard, however it is escaped") {
+    SUBCASE("different escapes of a key give the same key, and so the same shard") {
         CHECK(key_of(index, "/registry/rafts/a%2fb%20c/history") == "a/b c");
         CHECK(key_of(index, "/registry/rafts/a%2Fb%20c/history") == "a/b c");
         CHECK(key_of(index, "/registry/rafts/a+b/history") == "a+b");
     }
-    SUBCASE("malformed escapes do not match") {
+    SUBCASE("keys with malformed escapes do not match") {
         for (const char* key : {"%", "%4", "%zz", "a%4", "%%41", "%-1"}) {
             CHECK(key_of(index, std::string("/registry/rafts/") + key + "/history") == "no match");
         }
     }
-    SUBCASE("keys that would split a header, break JSON or climb out of the path do not match") {
+    SUBCASE("keys that are too long, or would split a header, break JSON or leave the path, do not match") {
         for (const char* key : {"a%0d%0aX:1", "%00", "%ff", "%7f", "..", "%2e%2e", "."}) {
             CHECK(key_of(index, std::string("/registry/rafts/") + key + "/history") == "no match");
         }
@@ -74,7 +76,8 @@
     }
 }
 
-TEST_CASE("rules of different shapes live side by side") {
+// Guards against a lookup that finds only rules with their literals and placeholders at the same positions.
+TEST_CASE("rules with literals at different positions are all found") {
     const rule_index index({with_rule("a", "/{any}/x/{key}"), with_rule("b", "/{key}/y/{any}"),
                             with_rule("c", "/z/{key}"), with_rule("d", "/{key}")});
     CHECK(key_of(index, "/1/x/2") == "2");
@@ -85,7 +88,8 @@
     CHECK(key_of(index, "/../x/2") == "no match");
 }
 
-TEST_CASE("an index over profiles that contradict each other is refused") {
+// Guards against an index in which the rule of a request, or the profile of a service, is ambiguous.
+TEST_CASE("profiles that share a service or match the same request cannot be indexed together") {
     CHECK_THROWS_AS(rule_index({with_rule("a", "/a/{key}"), with_rule("b", "/{any}/{key}")}), invalid_input);
     auto same_service = with_rule("a", "/b/{key}");
     same_service.content.replace(same_service.content.find("\"a\""), 3, "\"b\"");
