--- a/tests/profile/store_test.cpp
+++ b/tests/profile/store_test.cpp
@@ -23,59 +23,61 @@
 
 } // namespace
 
-TEST_CASE("two operators race with the same version") {
+// Guards against an update that is overwritten by a concurrent or resent one.
+TEST_CASE("of two changes to the same version one is accepted, and resends get the same results") {
     store profiles;
     REQUIRE(profiles.apply(edit(0, "first")).status == change_status::accepted);
     const auto won = profiles.apply(edit(1, "left", "left"));
     const auto lost = profiles.apply(edit(1, "right", "right"));
 
-    SUBCASE("one wins, and the other sees the version in force") {
+    SUBCASE("one is accepted, and the other gets a conflict with the version in force") {
         CHECK(won.status == change_status::accepted);
         CHECK(won.in_force.version == 2);
         CHECK(lost.status == change_status::conflict);
         CHECK(lost.in_force == won.in_force);
         CHECK(profiles.find("p") == won.in_force);
     }
-    SUBCASE("both resend after lost answers and get the same answers") {
+    SUBCASE("both get the same results again when they are resent") {
         CHECK(profiles.apply(edit(1, "left", "left")) == won);
         CHECK(profiles.apply(edit(1, "right", "right")) == lost);
         CHECK(profiles.find("p")->version == 2);
     }
-    SUBCASE("a resend after a later change still gets its own answer and reverts nothing") {
+    SUBCASE("a resend after a later change gets its own result and does not revert the later change") {
         const auto later = profiles.apply(edit(2, "later", "later"));
         CHECK(profiles.apply(edit(1, "left", "left")) == won);
         CHECK(profiles.apply(edit(1, "right", "right")) == lost);
         CHECK(profiles.find("p") == later.in_force);
     }
-    SUBCASE("a change id that comes back with another change is not taken for a resend") {
+    SUBCASE("a change id that is reused for another change is refused, not taken for a resend") {
         const auto reused = profiles.apply(edit(2, "left", "other"));
         CHECK(reused.status == change_status::invalid);
         CHECK(profiles.find("p")->version == 2);
     }
 }
 
-TEST_CASE("a change that must not come into force is refused and changes nothing") {
+// Guards against accepted profiles that are invalid, contradict another profile or move keys to other shards.
+TEST_CASE("an invalid or conflicting change is refused and changes nothing") {
     store profiles;
     profiles.apply({"p", 0, "c1", content("p", "s")});
     const std::string before = profiles.find("p")->content;
     const auto status_of = [&](const change& wanted) { return profiles.apply(wanted).status; };
 
-    SUBCASE("invalid content, with the reason") {
+    SUBCASE("invalid content is refused with the reason") {
         const auto result = profiles.apply({"p", 1, "c2", "name = 1"});
         CHECK(result.status == change_status::invalid);
         CHECK(result.problem.rfind("p: name: ", 0) == 0);
     }
-    SUBCASE("content that carries another profile's name") {
+    SUBCASE("content with the name of another profile") {
         CHECK(status_of({"q", 0, "c2", content("p", "t")}) == change_status::invalid);
     }
-    SUBCASE("a service or a request that belongs to another profile") {
+    SUBCASE("a service or a path that belongs to another profile") {
         CHECK(status_of({"q", 0, "c2", content("q", "s")}) == change_status::invalid);
         std::string same_path = content("q", "t");
         same_path.replace(same_path.find("/t/"), 3, "/s/");
         CHECK(status_of({"q", 0, "c3", same_path}) == change_status::invalid);
         CHECK(status_of({"q", 0, "c4", content("q", "t")}) == change_status::accepted);
     }
-    SUBCASE("another number of shards, which would move every key") {
+    SUBCASE("a changed number of shards, which would move keys to other shards") {
         CHECK(status_of({"p", 1, "c2", content("p", "s", 32)}) == change_status::invalid);
         SUBCASE("also when the service was removed in between") {
             CHECK(status_of({"p", 1, "c3", content("p", "other")}) == change_status::accepted);
@@ -84,13 +86,13 @@
         }
         CHECK(profiles.find("p")->version != 0);
     }
-    SUBCASE("a base version from the future, or of a profile that does not exist") {
+    SUBCASE("a base version that does not exist yet, or of a profile that does not exist") {
         CHECK(status_of({"p", 9, "c2", content("p", "s")}) == change_status::conflict);
         const auto missing = profiles.apply({"q", 1, "c3", content("q", "t")});
         CHECK(missing.status == change_status::conflict);
         CHECK(missing.in_force.version == 0);
     }
-    SUBCASE("a missing, overlong or unprintable change id") {
+    SUBCASE("a change id that is empty, too long or not visible ASCII") {
         for (const auto& id :
              {std::string(), std::string(65, 'x'), std::string("a b"), std::string("\x80")}) {
             CHECK(status_of({"p", 1, id, before}) == change_status::invalid);
@@ -101,7 +103,9 @@
     }
 }
 
-TEST_CASE("the store survives a restart after hundreds of changes") {
+// Guards against a snapshot that loses profiles or remembered changes, grows without limit, or makes a
+// replica differ from the others.
+TEST_CASE("a store decoded from its snapshot equals the original after hundreds of changes") {
     store profiles;
     for (std::uint64_t n = 0; n < 1500; ++n) {
         REQUIRE(profiles.apply(edit(n, "id" + std::to_string(n))).status == change_status::accepted);
@@ -111,7 +115,7 @@
     CHECK(restored.find("p")->version == 1500);
     CHECK(restored.encode() == profiles.encode());
 
-    SUBCASE("it still answers resent changes and keeps the shard counts") {
+    SUBCASE("it recognizes resent changes and keeps the shard counts") {
         CHECK(restored.apply(edit(1499, "id1499")).status == change_status::accepted);
         CHECK(restored.apply({"p", 1500, "x", content("p", "s", 99)}).status == change_status::invalid);
         CHECK(restored.find("p")->version == 1500);
@@ -125,7 +129,7 @@
     SUBCASE("its encoding stays small, since accepted contents are not kept twice") {
         CHECK(profiles.encode().size() < 200'000);
     }
-    SUBCASE("two replicas that apply the same changes stay equal, also from a snapshot") {
+    SUBCASE("a replica restored from a snapshot stays equal when both apply the same change") {
         const change next = edit(1500, "next");
         profiles.apply(next);
         restored.apply(next);
@@ -133,7 +137,8 @@
     }
 }
 
-TEST_CASE("stored and sent values are read back, and damaged ones are refused") {
+// Guards against truncated or extended bytes of a change or a snapshot that are accepted.
+TEST_CASE("encoded changes and snapshots are decoded, and damaged ones are refused") {
     const change wanted{"p", 7, "id", std::string("a\0b", 3)};
     const std::string bytes = profile::encode(wanted);
     CHECK(profile::decode_change(bytes) == wanted);
