--- a/include/kingcupseam/directory.h
+++ b/include/kingcupseam/directory.h
@@ -112,7 +112,7 @@
     std::map<std::string, upstream> upstreams;   ///< by id
     std::map<std::string, range_map> ranges;     ///< by service
 
-    const key_range* owner_of(const std::string& service, key_number key) const;
+    const key_range* range_of(const std::string& service, key_number key) const;
     const upstream* find(const upstream_incarnation& incarnation) const;
     const upstream* find_by_address(const endpoint_address& address) const;
 };
--- a/src/directory/snapshot.cpp
+++ b/src/directory/snapshot.cpp
@@ -62,7 +62,7 @@
 
 } // namespace
 
-const key_range* snapshot::owner_of(const std::string& service, key_number key) const {
+const key_range* snapshot::range_of(const std::string& service, key_number key) const {
     const auto map = ranges.find(service);
     if (map == ranges.end()) {
         return nullptr;
--- a/src/router/dispatcher_choice.cpp
+++ b/src/router/dispatcher_choice.cpp
@@ -81,7 +81,7 @@
     if (!it->keyed) {
         return select_least_loaded(it);
     }
-    const auto* range = directory_->owner_of(it->service, *it->request.key);
+    const auto* range = directory_->range_of(it->service, *it->request.key);
     if (range == nullptr) {
         return nullptr;
     }
--- a/tests/directory/directory_test.cpp
+++ b/tests/directory/directory_test.cpp
@@ -89,12 +89,12 @@
     SUBCASE("a part of a range moves with a higher epoch") {
         state = apply(state, assign(0, last_key, {"u1", 10}), 2);
         state = apply(state, assign(100, 199, {"u2", 10}), 3);
-        CHECK(state.owner_of("a", 99)->owner.id == "u1");
-        CHECK(state.owner_of("a", 99)->epoch == 2);
-        CHECK(state.owner_of("a", 100)->owner.id == "u2");
-        CHECK(state.owner_of("a", 199)->epoch == 3);
-        CHECK(state.owner_of("a", 200)->owner.id == "u1");
-        CHECK(state.owner_of("a", last_key)->epoch == 2);
+        CHECK(state.range_of("a", 99)->owner.id == "u1");
+        CHECK(state.range_of("a", 99)->epoch == 2);
+        CHECK(state.range_of("a", 100)->owner.id == "u2");
+        CHECK(state.range_of("a", 199)->epoch == 3);
+        CHECK(state.range_of("a", 200)->owner.id == "u1");
+        CHECK(state.range_of("a", last_key)->epoch == 2);
         CHECK(state.ranges.at("a").size() == 3);
 
         SUBCASE("renumbering joins adjacent ranges of one owner") {
@@ -103,7 +103,7 @@
             renumber.renumber_epochs = true;
             state = apply(state, renumber, 5);
             CHECK(state.ranges.at("a").size() == 1);
-            CHECK(state.owner_of("a", 150)->epoch == 5);
+            CHECK(state.range_of("a", 150)->epoch == 5);
         }
     }
 
--- a/tests/key_ranges/lease_manager_test.cpp
+++ b/tests/key_ranges/lease_manager_test.cpp
@@ -152,7 +152,7 @@
     leader.apply(split);
     leader.run(std::chrono::seconds(12)); // until the former leader's leases have ended
     const directory::snapshot before = leader.state;
-    REQUIRE(before.owner_of("s", 0)->epoch < before.owner_of("s", 1001)->epoch);
+    REQUIRE(before.range_of("s", 0)->epoch < before.range_of("s", 1001)->epoch);
 
     directory::command drain;
     drain.upstreams.push_back(leaving);
@@ -161,12 +161,12 @@
     const auto releases = leader.run(std::chrono::seconds(2));
     REQUIRE_FALSE(releases.empty());
     for (const auto& it : releases) {
-        const auto* held = before.owner_of("s", it.first);
+        const auto* held = before.range_of("s", it.first);
         CHECK(it.last <= held->last);
         CHECK(it.epoch == held->epoch);
     }
-    CHECK(leader.state.owner_of("s", 0)->owner != leaving.incarnation);
-    CHECK(leader.state.owner_of("s", 1001)->owner != leaving.incarnation);
+    CHECK(leader.state.range_of("s", 0)->owner != leaving.incarnation);
+    CHECK(leader.state.range_of("s", 1001)->owner != leaving.incarnation);
 }
 
 TEST_CASE("every key has an owner again after the faults have ended") {
