--- a/include/kingcupseam/key_ranges.h
+++ b/include/kingcupseam/key_ranges.h
@@ -22,7 +22,7 @@
     /// Multiplies all counts by @p factor, 0 to 1.
     void decay(double factor);
     double total() const noexcept { return total_; }
-    double of(key_number key) const { return counts_[key]; }
+    double requests_for(key_number key) const { return counts_[key]; }
 
 private:
     std::vector<double> counts_;
--- a/src/key_ranges/planner.cpp
+++ b/src/key_ranges/planner.cpp
@@ -23,7 +23,7 @@
         const double total = std::max(load.total(), 1.0);
         const double background = total * background_share / static_cast<double>(key_count);
         for (std::size_t key = 0; key < key_count; ++key) {
-            sums_[key + 1] = sums_[key] + load.of(static_cast<key_number>(key)) + background;
+            sums_[key + 1] = sums_[key] + load.requests_for(static_cast<key_number>(key)) + background;
         }
     }
     double between(key_number first, key_number last) const { return sums_[last + 1] - sums_[first]; }
