--- a/src/key_ranges/lease_manager.cpp
+++ b/src/key_ranges/lease_manager.cpp
@@ -12,7 +12,7 @@
 using directory::upstream;
 
 /// Renewals within one lease time: two may fail before the lease ends.
-constexpr int renewals_per_hold = 3;
+constexpr int renewals_per_lease = 3;
 
 std::vector<key_range> unassigned_ranges(const range_map* owned) {
     std::vector<key_range> result;
@@ -365,7 +365,7 @@
         held.confirmed = true;
         held.failed_calls = 0;
         held.handover.clear();
-        held.next_call = now + settings_.lease_time / renewals_per_hold;
+        held.next_call = now + settings_.lease_time / renewals_per_lease;
         return;
     }
     ++held.failed_calls;
