--- a/include/kingcupseam/key_ranges.h
+++ b/include/kingcupseam/key_ranges.h
@@ -179,7 +179,7 @@
     };
     using lease_map = std::map<key_number, lease>;
 
-    duration lease_bound() const;
+    duration max_lease_duration() const;
     void synchronize(const directory::snapshot& state);
     lease carried_over_lease(const std::string& service, const directory::key_range& range);
     void assign_vacant(const std::string& service, const view& known, time_point now, effects& out);
--- a/src/key_ranges/lease_manager.cpp
+++ b/src/key_ranges/lease_manager.cpp
@@ -51,7 +51,7 @@
 lease_manager::lease_manager(lease_manager_options settings, time_point elected)
     : settings_(settings), elected_(elected) {}
 
-duration lease_manager::lease_bound() const {
+duration lease_manager::max_lease_duration() const {
     return std::chrono::duration_cast<duration>(settings_.lease_time * (1 + settings_.clock_error)) +
            settings_.margin;
 }
@@ -107,7 +107,7 @@
     lease result;
     result.range = range;
     if (synchronized_index_ == 0) {
-        result.lower_epochs_until = elected_ + lease_bound();
+        result.lower_epochs_until = elected_ + max_lease_duration();
         return result;
     }
     const auto& held = leases_[service];
@@ -360,7 +360,7 @@
     held.next_call = now + settings_.retry_delay;
     held.unreachable = result == call_result::not_sent;
     if (result == call_result::done) {
-        held.answered_until = now + lease_bound();
+        held.answered_until = now + max_lease_duration();
         held.lower_epochs_until = {};
         held.confirmed = true;
         held.failed_calls = 0;
@@ -370,7 +370,7 @@
     }
     ++held.failed_calls;
     if (result == call_result::unanswered) {
-        held.unanswered_until = now + lease_bound();
+        held.unanswered_until = now + max_lease_duration();
     }
 }
 
