--- a/include/kingcupseam/key_ranges.h
+++ b/include/kingcupseam/key_ranges.h
@@ -186,7 +186,7 @@
     void finish_moves(const std::string& service, effects& out);
     static void add_planned_ranges(const lease& held, directory::range_map& out);
     void start_moves(const std::string& service, const view& known, time_point now, effects& out);
-    void renew(const std::string& service, const view& known, time_point now, effects& out);
+    void send_due_calls(const std::string& service, const view& known, time_point now, effects& out);
     void release_parts(lease& held, const directory::upstream& owner, time_point now, effects& out);
     void send_grant(lease& held, const directory::upstream& owner, const view& known, time_point now,
                     effects& out);
--- a/src/key_ranges/lease_manager.cpp
+++ b/src/key_ranges/lease_manager.cpp
@@ -83,7 +83,7 @@
             finish_moves(name, out);
             start_moves(name, known, now, out);
         }
-        renew(name, known, now, out);
+        send_due_calls(name, known, now, out);
     }
     command_open_ = command_open_ || !out.command.empty();
     return out;
@@ -304,7 +304,8 @@
                          held.range.last, held.range.epoch, settings_.lease_time, held.handover, late});
 }
 
-void lease_manager::renew(const std::string& service, const view& known, time_point now, effects& out) {
+void lease_manager::send_due_calls(const std::string& service, const view& known, time_point now,
+                                   effects& out) {
     for (auto& [first, it] : leases_[service]) {
         const upstream* owner = known.state.find(it.range.owner);
         if (owner == nullptr || it.reassigning) {
