--- a/include/kingcupseam/key_ranges.h
+++ b/include/kingcupseam/key_ranges.h
@@ -190,7 +190,7 @@
     void release_parts(lease& held, const directory::upstream& owner, time_point now, effects& out);
     void send_grant(lease& held, const directory::upstream& owner, const view& known, time_point now,
                     effects& out);
-    void renew_epoch(const std::string& service, const view& known, time_point now, effects& out);
+    void assign_new_epochs(const std::string& service, const view& known, time_point now, effects& out);
     bool is_silent(const std::string& id, const view& known, time_point now) const;
     bool is_lost(const lease& held, const view& known, time_point now) const;
     void on_grant_result(lease& held, call_result result, time_point now) const;
--- a/src/key_ranges/lease_manager.cpp
+++ b/src/key_ranges/lease_manager.cpp
@@ -215,7 +215,8 @@
     }
 }
 
-void lease_manager::renew_epoch(const std::string& service, const view& known, time_point now, effects& out) {
+void lease_manager::assign_new_epochs(const std::string& service, const view& known, time_point now,
+                                      effects& out) {
     for (auto& [first, it] : leases_[service]) {
         const upstream* owner = known.state.find(it.range.owner);
         // Once the owner has answered a higher epoch, earlier unanswered grants cannot take effect.
@@ -251,7 +252,7 @@
         return;
     }
     next_plan_[service] = now + settings_.plan_interval;
-    renew_epoch(service, known, now, out);
+    assign_new_epochs(service, known, now, out);
     range_map owned;
     std::vector<key_range> movable;
     std::size_t moving = 0;
