--- a/include/kingcupseam/directory.h
+++ b/include/kingcupseam/directory.h
@@ -42,7 +42,7 @@
     std::string health_path;
     std::int32_t max_connections = 0;
     bool key_ranges = false; ///< each key belongs to one upstream at a time
-    duration warm_up{};      ///< time for which keys received without a handover are slow
+    duration warm_up{};      ///< how long an upstream is slow for keys that it received without a handover
     bool operator==(const routed_service&) const = default;
 };
 
@@ -88,7 +88,7 @@
     endpoint_address address;
     std::int32_t slots = 1;
     bool draining = false;
-    bool left = false; ///< has announced that it ends; it may serve for a few more seconds
+    bool left = false; ///< has announced that it is shutting down; it may serve for a few more seconds
     /// Whether it may be given new requests and key ranges.
     bool accepts_work() const noexcept { return !draining && !left; }
     bool operator==(const upstream&) const = default;
