--- a/include/kingcupseam/key_ranges.h
+++ b/include/kingcupseam/key_ranges.h
@@ -45,7 +45,8 @@
     double hot_key_gain = 1.4;
     /// Moves of one service in progress at once. Each blocks its keys for up to the length of a request.
     std::size_t max_moves = 16;
-    /// Mean number of requests below which differences are noise, so that nothing is moved for balance.
+    /// With fewer requests per upstream on average, differences in load are noise and no range is moved to
+    /// balance it.
     double min_requests_per_upstream = 3;
 };
 
@@ -96,7 +97,8 @@
 
 enum class call_kind : std::uint8_t { grant, release };
 
-/// A request to an upstream to accept or release keys. Every call is answered with lease_manager::on_result.
+/// A request to an upstream to accept or release keys. The result of every call is passed to
+/// lease_manager::on_result().
 struct call {
     std::uint64_t id = 0;
     call_kind kind = call_kind::grant;
@@ -179,6 +181,7 @@
     };
     using lease_map = std::map<key_number, lease>;
 
+    /// Longest time after its arrival for which the owner may count a grant as valid.
     duration max_lease_duration() const;
     void synchronize(const directory::snapshot& state);
     lease carried_over_lease(const std::string& service, const directory::key_range& range);
@@ -186,10 +189,13 @@
     void finish_moves(const std::string& service, effects& out);
     static void add_planned_ranges(const lease& held, directory::range_map& out);
     void start_moves(const std::string& service, const view& known, time_point now, effects& out);
+    /// Sends the grants of ranges that stay and the releases of parts that move.
     void send_due_calls(const std::string& service, const view& known, time_point now, effects& out);
     void release_parts(lease& held, const directory::upstream& owner, time_point now, effects& out);
     void send_grant(lease& held, const directory::upstream& owner, const view& known, time_point now,
                     effects& out);
+    /// Assigns unsettled ranges of owners that accept no work to the same owners again: once the new epoch is
+    /// answered, their leases are settled and can be released.
     void assign_new_epochs(const std::string& service, const view& known, time_point now, effects& out);
     bool is_silent(const std::string& id, const view& known, time_point now) const;
     bool is_lost(const lease& held, const view& known, time_point now) const;
