--- a/src/key_ranges/planner.cpp
+++ b/src/key_ranges/planner.cpp
@@ -97,7 +97,7 @@
 
 private:
     std::vector<upstream_load> upstreams_;
-    std::map<upstream_incarnation, std::size_t> positions_; ///< in accounts_
+    std::map<upstream_incarnation, std::size_t> positions_; ///< index in upstreams_
     double total_ = 0;
     double weight_ = 0;
 };
