--- a/src/key_ranges/planner.cpp
+++ b/src/key_ranges/planner.cpp
@@ -43,7 +43,7 @@
     candidate upstream;
     double load = 0;
     bool exhausted = false; ///< nothing more can be moved away from it
-    double ratio() const { return load / upstream.weight; }
+    double load_per_weight() const { return load / upstream.weight; }
 };
 
 class upstream_loads {
@@ -71,15 +71,16 @@
         return it == positions_.end() ? nullptr : &upstreams_[it->second];
     }
     upstream_load& least_loaded() {
-        return *std::min_element(
-            upstreams_.begin(), upstreams_.end(),
-            [](const upstream_load& a, const upstream_load& b) { return a.ratio() < b.ratio(); });
+        return *std::min_element(upstreams_.begin(), upstreams_.end(),
+                                 [](const upstream_load& a, const upstream_load& b) {
+                                     return a.load_per_weight() < b.load_per_weight();
+                                 });
     }
     /// The most loaded upstream from which something can be moved away; null when there is none.
     upstream_load* most_loaded() {
         upstream_load* result = nullptr;
         for (upstream_load& it : upstreams_) {
-            if (!it.exhausted && (result == nullptr || it.ratio() > result->ratio())) {
+            if (!it.exhausted && (result == nullptr || it.load_per_weight() > result->load_per_weight())) {
                 result = &it;
             }
         }
@@ -156,8 +157,8 @@
         return false;
     }
     const double mean = upstreams_.mean();
-    if (source->ratio() < settings_.overload_ratio * mean &&
-        upstreams_.least_loaded().ratio() > settings_.underload_ratio * mean) {
+    if (source->load_per_weight() < settings_.overload_ratio * mean &&
+        upstreams_.least_loaded().load_per_weight() > settings_.underload_ratio * mean) {
         return false;
     }
     // A hot key moves first: moving its neighbours does not relieve it, and meanwhile its slow owner rejects
