--- a/src/key_ranges/planner.cpp
+++ b/src/key_ranges/planner.cpp
@@ -93,7 +93,7 @@
                                  });
     }
     bool empty() const { return upstreams_.empty(); }
-    double mean() const { return total_ / weight_; }
+    double mean_load_per_weight() const { return total_ / weight_; }
     void add_total(double load) { total_ += load; }
 
 private:
@@ -111,8 +111,8 @@
     for (;;) {
         upstream_load& target = upstreams.least_loaded();
         // At least a tenth of the mean, so that a range is not divided into many small parts.
-        const double room = std::max(upstreams.mean() * target.upstream.weight - target.load,
-                                     upstreams.mean() * target.upstream.weight / 10);
+        const double room = std::max(upstreams.mean_load_per_weight() * target.upstream.weight - target.load,
+                                     upstreams.mean_load_per_weight() * target.upstream.weight / 10);
         const key_number last = loads.end_of_part(first, range.last, room);
         target.load += loads.between(first, last);
         if (out.size() > joinable_from && out.back().target == target.upstream.incarnation &&
@@ -156,9 +156,9 @@
     if (source == nullptr) {
         return false;
     }
-    const double mean = upstreams_.mean();
-    if (source->load_per_weight() < settings_.overload_ratio * mean &&
-        upstreams_.least_loaded().load_per_weight() > settings_.underload_ratio * mean) {
+    const double mean_load_per_weight = upstreams_.mean_load_per_weight();
+    if (source->load_per_weight() < settings_.overload_ratio * mean_load_per_weight &&
+        upstreams_.least_loaded().load_per_weight() > settings_.underload_ratio * mean_load_per_weight) {
         return false;
     }
     // A hot key moves first: moving its neighbours does not relieve it, and meanwhile its slow owner rejects
@@ -187,9 +187,9 @@
 
 bool balancer::move_from(upstream_load& source, std::vector<planned_move>& out) {
     upstream_load& target = upstreams_.least_loaded();
-    const double mean = upstreams_.mean();
-    const double amount =
-        std::min(source.load - mean * source.upstream.weight, mean * target.upstream.weight - target.load);
+    const double mean_load_per_weight = upstreams_.mean_load_per_weight();
+    const double amount = std::min(source.load - mean_load_per_weight * source.upstream.weight,
+                                   mean_load_per_weight * target.upstream.weight - target.load);
     if (amount <= 0 || &source == &target) {
         return false;
     }
@@ -226,7 +226,7 @@
     if (target.exhausted || target.upstream.weight < settings_.hot_key_gain * source.upstream.weight) {
         return false;
     }
-    const double fair_load = upstreams_.mean() * source.upstream.weight;
+    const double fair_load = upstreams_.mean_load_per_weight() * source.upstream.weight;
     for (auto it = movable_.begin(); it != movable_.end(); ++it) {
         if (it->owner != source.upstream.incarnation || loads_.between(it->first, it->last) <= fair_load) {
             continue;
