--- a/include/kingcupseam/placement.h
+++ b/include/kingcupseam/placement.h
@@ -133,11 +133,12 @@
 struct contact_reply {
     std::uint64_t holder = 0;
     std::uint64_t number = 0;
-    std::optional<data_center_assignment> assigned; ///< empty when the request stated the same
+    std::optional<data_center_assignment> assigned; ///< empty when the request states its version and holds
     bool operator==(const contact_reply&) const = default;
 };
 
-/// Places shards in proportion to the slots with as few moves as possible; moved shards are interleaved.
+/// Places shards in proportion to the slots with as few moves as possible; moved shards are interleaved
+/// among the data centres that gain.
 /// @param current by shard: index into @p slots or unplaced
 /// @param movable by shard: whether it may leave its data centre; unplaced shards are always placed
 /// @param may_gain by data centre: whether it may get shards
@@ -183,7 +184,9 @@
 /// either applied or lost.
 class placement_planner {
 public:
-    /// @param elected start of every hold, since contacts with earlier leaders are not known
+    /// @param elected time of the election; until a data centre makes contact, its holds are counted from
+    /// here,
+    ///        since contacts with earlier leaders are not known
     placement_planner(const planner_options& options, time_point elected);
 
     /// Gives no reply after leadership_valid_until, as another leader may already count the hold, and none
