--- a/src/key_ranges/planner.cpp
+++ b/src/key_ranges/planner.cpp
@@ -57,13 +57,13 @@
         }
         for (const auto& [first, it] : owned) {
             const double load = loads.between(it.first, it.last);
-            total_ += load;
+            total_load_ += load;
             if (upstream_load* owner = find(it.owner)) {
                 owner->load += load;
             }
         }
         for (const auto& it : upstreams_) {
-            weight_ += it.upstream.weight;
+            total_weight_ += it.upstream.weight;
         }
     }
     upstream_load* find(const upstream_incarnation& incarnation) {
@@ -93,14 +93,14 @@
                                  });
     }
     bool empty() const { return upstreams_.empty(); }
-    double mean_load_per_weight() const { return total_ / weight_; }
-    void add_total(double load) { total_ += load; }
+    double mean_load_per_weight() const { return total_load_ / total_weight_; }
+    void add_total(double load) { total_load_ += load; }
 
 private:
     std::vector<upstream_load> upstreams_;
     std::map<upstream_incarnation, std::size_t> positions_; ///< index in upstreams_
-    double total_ = 0;
-    double weight_ = 0;
+    double total_load_ = 0;
+    double total_weight_ = 0;
 };
 
 /// Assigns a range in parts, each to the upstream with the least load for its weight.
