--- a/src/placement/spread_shards.cpp
+++ b/src/placement/spread_shards.cpp
@@ -15,17 +15,17 @@
     std::vector<std::int64_t> result(slots.size());
     std::vector<std::size_t> order(slots.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
-    std::int64_t left = total;
+    std::int64_t remaining = total;
     for (std::size_t n = 0; n < slots.size(); ++n) {
         result[n] = total * slots[n] / sum;
-        left -= result[n];
+        remaining -= result[n];
     }
     std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-        const auto left_a = total * slots[a] % sum;
-        const auto left_b = total * slots[b] % sum;
-        return left_a != left_b ? left_a > left_b : counts[a] > counts[b];
+        const auto remainder_a = total * slots[a] % sum;
+        const auto remainder_b = total * slots[b] % sum;
+        return remainder_a != remainder_b ? remainder_a > remainder_b : counts[a] > counts[b];
     });
-    for (std::size_t n = 0; left > 0; ++n, --left) {
+    for (std::size_t n = 0; remaining > 0; ++n, --remaining) {
         ++result[order[n]];
     }
     return result;
@@ -99,11 +99,11 @@
     for (const auto it : current) {
         it == unplaced ? ++unplaced_count : ++counts[static_cast<std::size_t>(it)];
     }
-    bool any = false;
+    bool any_may_gain = false;
     for (std::size_t n = 0; n < slots.size(); ++n) {
-        any = any || (slots[n] > 0 && may_gain[n]);
+        any_may_gain = any_may_gain || (slots[n] > 0 && may_gain[n]);
     }
-    if (!any) {
+    if (!any_may_gain) {
         return current;
     }
     const auto wanted = proportional_shares(static_cast<std::int64_t>(current.size()), slots, counts);
