--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -97,14 +97,15 @@
     return names;
 }
 
-/// Whether a data centre gained or lost more than @p part of its slots since the last planning.
+/// Whether a data centre gained or lost more than @p threshold, a fraction of its slots, since the last
+/// planning.
 bool slots_changed(const std::map<std::string, std::uint32_t>& planned_slots,
-                   const std::map<std::string, std::uint32_t>& slots, double part) {
+                   const std::map<std::string, std::uint32_t>& slots, double threshold) {
     auto names = planned_slots;
     names.insert(slots.begin(), slots.end());
     return std::any_of(names.begin(), names.end(), [&](const auto& it) {
         const double before = slots_of(planned_slots, it.first);
-        return std::abs(slots_of(slots, it.first) - before) > part * before;
+        return std::abs(slots_of(slots, it.first) - before) > threshold * before;
     });
 }
 
