--- a/tests/key_ranges/planner_test.cpp
+++ b/tests/key_ranges/planner_test.cpp
@@ -15,18 +15,18 @@
     return {std::string("u").append(std::to_string(n)), 1};
 }
 
-/// Ten upstreams that own equal parts of the keys.
+/// Upstreams with equal weights that own equal parts of the keys with equal load.
 struct service_fixture {
     range_map owned;
     std::vector<key_range> movable;
     std::vector<candidate> candidates;
     key_loads load;
 
-    explicit service_fixture(int n = 10) {
-        const key_number width = (directory::last_key + 1) / n;
-        for (int i = 0; i < n; ++i) {
+    explicit service_fixture(int upstreams = 10) {
+        const key_number width = (directory::last_key + 1) / upstreams;
+        for (int i = 0; i < upstreams; ++i) {
             const key_number first = width * i;
-            const key_number last = i + 1 == n ? directory::last_key : first + width - 1;
+            const key_number last = i + 1 == upstreams ? directory::last_key : first + width - 1;
             const key_range range{first, last, incarnation(i), 1};
             owned.emplace(first, range);
             movable.push_back(range);
@@ -39,7 +39,7 @@
     std::vector<planned_move> plan() { return plan_moves(owned, movable, candidates, load, {}); }
 };
 
-double moved_away(const std::vector<planned_move>& moves, const directory::upstream_incarnation& from) {
+double keys_moved_from(const std::vector<planned_move>& moves, const directory::upstream_incarnation& from) {
     double keys = 0;
     for (const auto& it : moves) {
         keys += it.from == from ? it.last - it.first + 1.0 : 0;
@@ -49,14 +49,14 @@
 
 } // namespace
 
-TEST_CASE("the planner balances key ranges") {
+TEST_CASE("the planner moves keys from overloaded and leaving upstreams to others") {
     service_fixture fixture;
 
     SUBCASE("nothing moves while the load is proportional to the weights") {
         CHECK(fixture.plan().empty());
     }
 
-    SUBCASE("an overloaded part of a range is spread over other upstreams") {
+    SUBCASE("keys of an overloaded part of a range move to other upstreams") {
         for (key_number key = 100; key < 140; ++key) {
             fixture.load.add(key, 3);
         }
@@ -74,7 +74,7 @@
         const key_number hot = fixture.movable.front().first;
         fixture.load.add(hot, 200);
         const auto moves = fixture.plan();
-        CHECK(moved_away(moves, incarnation(0)) > 2000);
+        CHECK(keys_moved_from(moves, incarnation(0)) > 2000);
         CHECK(std::none_of(moves.begin(), moves.end(), [&](const auto& it) { return it.first <= hot; }));
     }
 
@@ -96,10 +96,10 @@
         CHECK(moves.front() == planned_move{3000, 3000, incarnation(0), incarnation(7)});
     }
 
-    SUBCASE("all keys of an owner that is no candidate move at once") {
+    SUBCASE("all keys of an owner that is not a candidate move at once") {
         fixture.candidates.erase(fixture.candidates.begin());
         const auto moves = fixture.plan();
-        CHECK(moved_away(moves, incarnation(0)) == doctest::Approx(6553));
+        CHECK(keys_moved_from(moves, incarnation(0)) == doctest::Approx(6553));
     }
 }
 
