--- a/tests/hot_keys/tracker_test.cpp
+++ b/tests/hot_keys/tracker_test.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// Sends requests for @p length: @p hot_share of them for one key, the others spread over many keys.
-time_point send(tracker& keys, const std::string& hot, double rate, double hot_share, duration length,
-                time_point start) {
+/// Records requests for @p length: @p hot_share of them for one key, the others spread over many keys.
+time_point record_requests(tracker& keys, const std::string& hot, double rate, double hot_share,
+                           duration length, time_point start) {
     std::mt19937_64 random(7);
     std::uniform_real_distribution<double> uniform(0, 1);
     const auto step = duration(static_cast<std::int64_t>(1e6 / rate));
@@ -26,12 +26,14 @@
 
 } // namespace
 
+// Guards against a hot key that stays with its overloaded owner because it is not reported, and against moves
+// of keys that are not hot.
 TEST_CASE("the tracker finds hot keys among many in bounded memory") {
     tracker keys({});
     const time_point start = time_point{} + 1h;
 
     SUBCASE("a key with a tenth of the load is reported with about its rate") {
-        const auto now = send(keys, "port-1", 1000, 0.1, 10s, start);
+        const auto now = record_requests(keys, "port-1", 1000, 0.1, 10s, start);
         const auto found = keys.hottest(now);
         REQUIRE(found.size() == 1);
         CHECK(found[0].key == "port-1");
@@ -40,7 +42,7 @@
         CHECK(keys.size() <= options{}.capacity);
 
         SUBCASE("another key that becomes hot is reported within seconds") {
-            const auto later = send(keys, "port-2", 1000, 0.1, 10s, now);
+            const auto later = record_requests(keys, "port-2", 1000, 0.1, 10s, now);
             const auto next = keys.hottest(later);
             REQUIRE(next.size() == 1);
             CHECK(next[0].key == "port-2");
@@ -50,11 +52,11 @@
         }
     }
     SUBCASE("an even load has no hot key") {
-        const auto now = send(keys, "", 2000, 0, 5s, start);
+        const auto now = record_requests(keys, "", 2000, 0, 5s, start);
         CHECK(keys.hottest(now).empty());
     }
     SUBCASE("a key of a quiet service is not hot, however large its share") {
-        const auto now = send(keys, "port-1", 4, 1, 10s, start);
+        const auto now = record_requests(keys, "port-1", 4, 1, 10s, start);
         CHECK(keys.hottest(now).empty());
     }
 }
