--- a/src/hot_keys/tracker.cpp
+++ b/src/hot_keys/tracker.cpp
@@ -66,16 +66,17 @@
 
 std::vector<key_rate> tracker::hottest(time_point now) {
     decay(now);
-    // At a steady rate r the count converges to r * half_life / ln 2; until then it is this fraction of that.
+    // At a steady rate r the count converges to r * half_life / ln 2. Since the start it has reached
+    // converged_fraction of that value.
     const double half_life = seconds(settings_.half_life);
     const double converged_fraction = 1 - std::exp2(-std::max(seconds(now - started_), 0.5) / half_life);
-    const double per_count = std::log(2.0) / half_life / converged_fraction;
+    const double rate_per_count = std::log(2.0) / half_life / converged_fraction;
     std::vector<key_rate> result;
     for (const auto& [it, counts] : entries_) {
         const double guaranteed_count = counts.count - counts.max_overestimate;
-        if (guaranteed_count * per_count >= settings_.min_rate &&
+        if (guaranteed_count * rate_per_count >= settings_.min_rate &&
             guaranteed_count >= settings_.min_share * total_) {
-            result.push_back({it.service, it.key, guaranteed_count * per_count});
+            result.push_back({it.service, it.key, guaranteed_count * rate_per_count});
         }
     }
     std::sort(result.begin(), result.end(),
