--- a/tests/placement/planner_test.cpp
+++ b/tests/placement/planner_test.cpp
@@ -16,7 +16,7 @@
     return std::chrono::seconds(n);
 }
 
-/// A planner and its state; commands are applied at once unless a test delays them.
+/// The leader of the global group: the planner and the state that its commands are applied to.
 struct leader {
     placement_state state;
     std::uint64_t index = 0;
@@ -34,13 +34,16 @@
             apply(it);
         }
     }
-    contact_effects ask(const std::string& name, time_point now, std::uint64_t version = 0,
-                        std::map<std::string, duration> used = {}) {
+    /// Passes one contact request of the data centre to the planner and applies none of the commands.
+    contact_effects send_request(const std::string& name, time_point now, std::uint64_t version = 0,
+                                 std::map<std::string, duration> used = {}) {
         return planner.on_contact({name, 1, ++number, version, std::move(used), {}}, view(), now);
     }
+    /// Repeats a contact request after the commands of the first one have been applied, as a data centre
+    /// does.
     std::optional<contact_reply> contact(const std::string& name, time_point now) {
-        apply_all(ask(name, now).commands);
-        return ask(name, now).reply;
+        apply_all(send_request(name, now).commands);
+        return send_request(name, now).reply;
     }
     /// Makes the initial placement at @p now.
     void place_initially(time_point now) {
@@ -82,6 +85,7 @@
 
 } // namespace
 
+// Guards against moves beyond the necessary ones, and against a data centre with more than its share.
 TEST_CASE("shards are spread in proportion to the slots with the fewest moves") {
     const std::vector<bool> all(4096, true);
     const auto first = spread_shards(all_unplaced(4096), {20, 10, 10}, all, {true, true, true});
@@ -121,6 +125,7 @@
     }
 }
 
+// Guards against a takeover while the data centre that loses the shards may still serve them.
 TEST_CASE("shards of a silent data centre are taken over only after the hold") {
     leader it;
     const auto placed_at = start + s(10);
@@ -146,19 +151,19 @@
     }
     SUBCASE("a leader that may have been replaced does not reply to contacts") {
         it.valid_until = placed_at + s(1);
-        CHECK_FALSE(it.ask("c", placed_at + s(1)).reply);
+        CHECK_FALSE(it.send_request("c", placed_at + s(1)).reply);
     }
     SUBCASE("a contact during a takeover is answered once the log has ordered both") {
         const auto now = placed_at + s(61);
         const auto move = plan_with_c_silent(now);
         REQUIRE(move.size() == 1);
-        const auto effects = it.ask("c", now);
+        const auto effects = it.send_request("c", now);
         CHECK_FALSE(effects.reply);
         REQUIRE(effects.commands.size() == 1);
         SUBCASE("the takeover commits first: the reply takes the shards away") {
             it.apply_all(move);
             it.apply_all(effects.commands);
-            const auto reply = it.ask("c", now).reply;
+            const auto reply = it.send_request("c", now).reply;
             REQUIRE(reply);
             CHECK(reply->assigned->services.at(service).shards.empty());
         }
@@ -175,24 +180,26 @@
     }
     SUBCASE("a longer hold is granted only after it has been committed") {
         it.hold = s(600);
-        const auto effects = it.ask("c", placed_at);
+        const auto effects = it.send_request("c", placed_at);
         CHECK_FALSE(effects.reply);
         it.apply_all(effects.commands);
         CHECK(it.state.granted.at("c").holds.at(service) == s(600));
-        CHECK(it.ask("c", placed_at).reply);
+        CHECK(it.send_request("c", placed_at).reply);
     }
     SUBCASE("a request of a former leader of the data centre does not shorten the hold") {
         it.hold = s(600);
         it.contact("c", placed_at);
         it.hold = s(60);
         const auto old_version = it.state.granted.at("c").lengthened_at - 1;
-        it.apply_all(it.ask("c", placed_at, old_version, {{service, s(60)}}).commands);
+        it.apply_all(it.send_request("c", placed_at, old_version, {{service, s(60)}}).commands);
         CHECK(it.state.granted.at("c").holds.at(service) == s(600));
-        it.apply_all(it.ask("c", placed_at, it.state.version, {{service, s(60)}}).commands);
+        it.apply_all(it.send_request("c", placed_at, it.state.version, {{service, s(60)}}).commands);
         CHECK(it.state.granted.at("c").holds.at(service) == s(60));
     }
 }
 
+// Guards against moves for a change that does not last, and against moves that the former data centre has not
+// confirmed.
 TEST_CASE("planned moves wait for a lasting change and for confirmation") {
     leader it;
     const auto placed_at = start + s(10);
@@ -238,6 +245,7 @@
     }
 }
 
+// Guards against a command that is committed after the placement it was planned for has changed.
 TEST_CASE("commands based on an older state are refused") {
     leader it;
     it.place_initially(start + s(10));
