--- a/tests/placement/holder_test.cpp
+++ b/tests/placement/holder_test.cpp
@@ -22,6 +22,7 @@
 
 } // namespace
 
+// Guards against a data centre that serves shards without a valid hold, or after it.
 TEST_CASE("a data centre serves its shards from a contact until the hold expires") {
     placement_holder holder({"a"}, 7, {}, std::nullopt);
     const auto first = holder.poll({}, start);
@@ -69,6 +70,7 @@
     }
 }
 
+// Guards against a confirmation while an upstream may still hold a grant of the shard.
 TEST_CASE("a release is confirmed once no grant holds the shard") {
     placement_holder holder({"a"}, 7, make_assignment(9, {1}, {{2, 8}, {3, 9}}), start);
     CHECK_FALSE(holder.may_serve(service, 2, start));
@@ -79,6 +81,7 @@
     CHECK(holder.poll({}, start + s(1))->released[0].begun.size() == 2);
 }
 
+// Guards against a hold that is counted again from the election of a new leader.
 TEST_CASE("a new leader of a data centre does not extend the hold") {
     SUBCASE("without a known contact it serves nothing") {
         const placement_holder holder({"a"}, 8, make_assignment(5, {1}), std::nullopt);
