--- a/tests/placement/scenario_test.cpp
+++ b/tests/placement/scenario_test.cpp
@@ -94,7 +94,7 @@
         if (it.verb == "expect_placed") {
             CHECK(simulation_.shards_placed_in(name) == count);
         } else if (it.verb == "expect_served") {
-            CHECK(simulation_.served_by(name) == count);
+            CHECK(simulation_.shards_served_by(name) == count);
         } else if (it.verb == "expect_releasing") {
             CHECK((simulation_.shards_in_release() > 0) == (it.text("any", "yes") == "yes"));
         } else if (it.verb == "expect_moves") {
--- a/tests/placement/simulation.cpp
+++ b/tests/placement/simulation.cpp
@@ -386,7 +386,7 @@
         }));
 }
 
-std::uint32_t simulation::served_by(const std::string& name) const {
+std::uint32_t simulation::shards_served_by(const std::string& name) const {
     const auto& grants = data_centers_.at(name).grants;
     return static_cast<std::uint32_t>(
         std::count_if(grants.begin(), grants.end(), [this](const auto& it) { return it.second > now_; }));
--- a/tests/placement/simulation.h
+++ b/tests/placement/simulation.h
@@ -63,7 +63,7 @@
     void run(duration length);
 
     std::uint32_t shards_placed_in(const std::string& name) const;
-    std::uint32_t served_by(const std::string& name) const;
+    std::uint32_t shards_served_by(const std::string& name) const;
     std::uint32_t shards_in_release() const;
     std::uint64_t move_count() const { return moves_; }
     const std::vector<std::string>& violations() const { return violations_; }
