--- a/tests/placement/simulation.h
+++ b/tests/placement/simulation.h
@@ -91,7 +91,7 @@
         std::unique_ptr<placement_holder> holder;
         data_center_assignment committed;
         data_center_assignment largest_assignment; ///< with most shards so far
-        duration receipt_error{};
+        duration receipt_error{}; ///< for faults::hold_from_receipt: time between the request and its reply
         std::map<std::uint64_t, time_point> sent;
         std::map<std::uint32_t, time_point> grants; ///< end in true time, by shard
         time_point next_age_query{};
@@ -140,7 +140,7 @@
     time_point last_quorum_{};
     time_point next_plan_{};
     std::unique_ptr<placement_planner> planner_;
-    std::map<std::string, std::uint32_t> mirrored_slots_;
+    std::map<std::string, std::uint32_t> mirrored_slots_; ///< as the global leader last learned them
 
     std::uint64_t moves_ = 0;
     std::vector<std::string> violations_;
