--- a/tests/placement/scenario_test.cpp
+++ b/tests/placement/scenario_test.cpp
@@ -22,9 +22,9 @@
         for (const auto& it : script_.steps) {
             CAPTURE(it.verb);
             if (it.verb.rfind("expect_", 0) != 0) {
-                act(it);
+                run_step(it);
             } else if (check_expectations) {
-                check(it);
+                check_expectation(it);
             }
         }
         return simulation_;
@@ -48,7 +48,7 @@
         return options;
     }
 
-    void act(const kingcupseam::test::scenario_step& it) {
+    void run_step(const kingcupseam::test::scenario_step& it) {
         const auto name = it.text("name");
         if (it.verb == "data_centers") {
             for (const auto& center : it.list("names")) {
@@ -87,7 +87,7 @@
         }
     }
 
-    void check(const kingcupseam::test::scenario_step& it) {
+    void check_expectation(const kingcupseam::test::scenario_step& it) {
         const auto name = it.text("name");
         const auto count = it.number("count");
         CAPTURE(name);
@@ -126,6 +126,7 @@
 
 } // namespace
 
+// Guards against two data centres that serve one shard. Each scenario names its failure under "guards".
 TEST_CASE("at most one data centre serves a shard") {
     for (const auto& file : kingcupseam::test::scenarios_of("placement")) {
         const auto script = kingcupseam::test::load_scenario(file);
@@ -141,6 +142,7 @@
     }
 }
 
+// Guards against a simulation that passes whatever the code does.
 TEST_CASE("the simulation detects injected faults") {
     SUBCASE("a hold that starts at the receipt of the reply") {
         CHECK(detects("slow_replies", {.hold_from_receipt = true}));
