--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-control_node::control_node(asio::io_context& context, process_settings settings, order_sender send_order)
+control_node::control_node(asio::io_context& context, process_settings settings, call_sender send_order)
     : context_(context), settings_(std::move(settings)), send_order_(std::move(send_order)),
       state_machine_([this] { publisher_.publish(state_machine_.state()); }), publisher_(context),
       tick_timer_(context) {
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -29,10 +29,10 @@
 class control_node : public control_api {
 public:
     /// Sends an order to an upstream; @p done is called on the control thread.
-    using order_sender = std::function<void(
+    using call_sender = std::function<void(
         key_ranges::call order, std::function<void(key_ranges::call_result, std::string handover)> done)>;
 
-    control_node(asio::io_context& context, process_settings settings, order_sender send_order);
+    control_node(asio::io_context& context, process_settings settings, call_sender send_order);
     ~control_node() override;
 
     void announce(announcement report, on_accepted done) override;
@@ -77,7 +77,7 @@
 
     asio::io_context& context_;
     process_settings settings_;
-    order_sender send_order_;
+    call_sender send_order_;
     directory_state_machine state_machine_;
     directory_publisher publisher_;
     asio::steady_timer tick_timer_;
