--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -33,7 +33,7 @@
 } // namespace
 
 control_node::control_node(asio::io_context& context, process_settings settings, call_sender send_order)
-    : context_(context), settings_(std::move(settings)), send_order_(std::move(send_order)),
+    : context_(context), settings_(std::move(settings)), send_call_(std::move(send_order)),
       state_machine_([this] { publisher_.publish(state_machine_.state()); }), publisher_(context),
       tick_timer_(context) {
     open_group();
@@ -241,12 +241,12 @@
     }
     for (auto& it : effects.calls) {
         const std::uint64_t id = it.id;
-        send_order_(std::move(it),
-                    [this, generation, id](key_ranges::call_result result, const std::string& handover) {
-                        if (generation == lease_manager_generation_ && lease_manager_) {
-                            lease_manager_->on_result(id, result, handover, steady_now());
-                        }
-                    });
+        send_call_(std::move(it),
+                   [this, generation, id](key_ranges::call_result result, const std::string& handover) {
+                       if (generation == lease_manager_generation_ && lease_manager_) {
+                           lease_manager_->on_result(id, result, handover, steady_now());
+                       }
+                   });
     }
 }
 
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -77,7 +77,7 @@
 
     asio::io_context& context_;
     process_settings settings_;
-    call_sender send_order_;
+    call_sender send_call_;
     directory_state_machine state_machine_;
     directory_publisher publisher_;
     asio::steady_timer tick_timer_;
