--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -32,8 +32,8 @@
 
 } // namespace
 
-control_node::control_node(asio::io_context& context, process_settings settings, call_sender send_order)
-    : context_(context), settings_(std::move(settings)), send_call_(std::move(send_order)),
+control_node::control_node(asio::io_context& context, process_settings settings, call_sender send_call)
+    : context_(context), settings_(std::move(settings)), send_call_(std::move(send_call)),
       state_machine_([this] { publisher_.publish(state_machine_.state()); }), publisher_(context),
       tick_timer_(context) {
     open_group();
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -32,7 +32,7 @@
     using call_sender = std::function<void(
         key_ranges::call order, std::function<void(key_ranges::call_result, std::string handover)> done)>;
 
-    control_node(asio::io_context& context, process_settings settings, call_sender send_order);
+    control_node(asio::io_context& context, process_settings settings, call_sender send_call);
     ~control_node() override;
 
     void announce(announcement report, on_accepted done) override;
--- a/src/router/control_process.cpp
+++ b/src/router/control_process.cpp
@@ -59,7 +59,7 @@
 
 private:
     using on_call_result = std::function<void(key_ranges::call_result, std::string handover)>;
-    void send_order(const key_ranges::call& order, on_call_result done);
+    void send_call(const key_ranges::call& order, on_call_result done);
 
     process_settings settings_;
     const protocol_adapter& protocol_;
@@ -80,7 +80,7 @@
                     [this](const std::vector<std::string>& ips) { node_->set_seeds(ips); }) {
     node_ = std::make_unique<control_node>(
         control_.io, settings_,
-        [this](const key_ranges::call& order, on_call_result done) { send_order(order, std::move(done)); });
+        [this](const key_ranges::call& order, on_call_result done) { send_call(order, std::move(done)); });
     metrics_ = make_metrics_server(traffic_.io, settings_, registry_);
     app::http_server_options options;
     options.listen = settings_.control.value();
@@ -97,7 +97,7 @@
         });
 }
 
-void control_process::send_order(const key_ranges::call& order, on_call_result done) {
+void control_process::send_call(const key_ranges::call& order, on_call_result done) {
     asio::post(traffic_.io, [this, order, done = std::move(done)]() mutable {
         exchange request;
         request.target = order.address;
