--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -198,7 +198,7 @@
         lease_manager_ = std::make_unique<key_ranges::lease_manager>(options, now + election_timeout);
         conditions_.clear();
         last_announcements_.clear();
-        demand_.clear();
+        key_loads_.clear();
         poison_detector_ = poison_request_detector();
         for (const auto& [id, it] : state_machine_.state()->upstreams) {
             conditions_[id].last_announced = now;
@@ -212,7 +212,7 @@
 void control_node::tick_leader(time_point now) {
     if (now >= next_decay_) {
         next_decay_ = now + decay_interval;
-        for (auto& [service, it] : demand_) {
+        for (auto& [service, it] : key_loads_) {
             it.decay(decay_factor);
         }
         poison_detector_.expire(now);
@@ -226,7 +226,7 @@
 }
 
 void control_node::run_lease_manager(time_point now) {
-    auto effects = lease_manager_->tick({*state_machine_.state(), conditions_, demand_}, now);
+    auto effects = lease_manager_->tick({*state_machine_.state(), conditions_, key_loads_}, now);
     const std::uint64_t generation = lease_manager_generation_;
     if (!effects.command.empty()) {
         for (const auto& it : effects.command.assignments) {
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -94,7 +94,7 @@
     std::uint64_t lease_manager_generation_ = 0; ///< results for an earlier lease manager are dropped
     std::map<std::string, key_ranges::upstream_condition> conditions_;
     std::map<std::string, last_announcement> last_announcements_;
-    std::map<std::string, key_ranges::key_loads> demand_;
+    std::map<std::string, key_ranges::key_loads> key_loads_;
     std::map<std::string, double> service_times_; ///< moving average in microseconds, by upstream id
     poison_request_detector poison_detector_;
     bool was_leading_ = false;
--- a/src/router/control_node_reports.cpp
+++ b/src/router/control_node_reports.cpp
@@ -32,7 +32,7 @@
     const auto report = decode<wire::LoadReport>(payload);
     for (const auto& it : report.keys) {
         if (it.key >= 0 && it.key <= static_cast<std::int32_t>(directory::last_key)) {
-            demand_[it.service_name].add(static_cast<directory::key_number>(it.key), it.requests);
+            key_loads_[it.service_name].add(static_cast<directory::key_number>(it.key), it.requests);
         }
     }
     for (const auto& it : report.upstreams) {
