--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -155,7 +155,7 @@
     const time_point now = steady_now();
     group_->tick();
     const bool leading = group_->leads();
-    if (leading != was_leading_) {
+    if (leading != leading_) {
         on_leadership_change(leading, now);
     }
     if (leading) {
@@ -182,7 +182,7 @@
 }
 
 void control_node::on_leadership_change(bool leading, time_point now) {
-    was_leading_ = leading;
+    leading_ = leading;
     const std::uint64_t term = group_->node().term();
     // A leader that was out of contact and still leads the same term: no other member has led meanwhile, so
     // its knowledge of the leases is complete.
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -97,7 +97,7 @@
     std::map<std::string, key_ranges::key_loads> key_loads_;
     std::map<std::string, double> service_times_; ///< moving average in microseconds, by upstream id
     poison_request_detector poison_detector_;
-    bool was_leading_ = false;
+    bool leading_ = false;
     time_point next_lease_manager_run_;
     time_point next_decay_;
     time_point next_join_;
--- a/src/router/control_node_reports.cpp
+++ b/src/router/control_node_reports.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 void control_node::on_load_report(const std::string& payload) {
-    if (!was_leading_) {
+    if (!leading_) {
         return;
     }
     const auto report = decode<wire::LoadReport>(payload);
@@ -87,7 +87,7 @@
 
 std::string control_node::status_payload() {
     wire::ControlStatus status;
-    status.leads = was_leading_;
+    status.leads = leading_;
     status.term = static_cast<std::int64_t>(group_->node().term());
     for (const auto& it : group_->node().members().voters) {
         status.control_instances.push_back(it.name);
