--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -82,7 +82,7 @@
     void set_poison_requests(const std::vector<poison_request>& listed) {
         poison_requests_.update(listed, steady_now());
     }
-    void set_entries(int entries) { entries_ = entries < 1 ? 1 : entries; }
+    void set_entries(int entries) { entry_count_ = entries < 1 ? 1 : entries; }
     /// Makes every further answer close its connection.
     void start_draining() { draining_ = true; }
     /// Refuses new requests, so that none is interrupted when the process exits.
@@ -161,7 +161,7 @@
     directory::snapshot_ptr directory_;
     time_point directory_updated_at_;
     std::shared_ptr<const directory::route_index> routes_;
-    int entries_ = 1;
+    int entry_count_ = 1;
     bool draining_ = false;
     bool refusing_new_requests_ = false;
     std::uint64_t next_request_id_ = 1;
--- a/src/router/dispatcher_answers.cpp
+++ b/src/router/dispatcher_answers.cpp
@@ -116,7 +116,7 @@
 
 bool dispatcher::retry_immediately(const request_ptr& it, time_point now) {
     const bool may_retry = it->route.runs == execution::idempotent && it->possible_runs < it->route.attempts;
-    if (!may_retry || !budget_of(it->service).try_retry(entries_, now)) {
+    if (!may_retry || !budget_of(it->service).try_retry(entry_count_, now)) {
         return false;
     }
     dispatch(it);
@@ -127,7 +127,7 @@
     it->last_failed_upstream = it->keyed ? it->last_failed_upstream : it->upstream;
     if (!it->keyed || now - directory_updated_at_ < settings_.grant_delay) {
         retry_or_end(it, "wrong-owner", settings_.shed_backoff / 2);
-    } else if (budget_of(it->service).try_retry(entries_, now)) {
+    } else if (budget_of(it->service).try_retry(entry_count_, now)) {
         // The key is being released; a directory update will name the next owner.
         wait_for_owner(it);
     } else {
@@ -140,7 +140,7 @@
     const bool time_left = now + delay + settings_.min_attempt_time < it->deadline;
     const bool retry = it->send_count > 0;
     if (!time_left || now - it->arrived > it->route.target_latency ||
-        (retry && !budget_of(it->service).try_retry(entries_, now))) {
+        (retry && !budget_of(it->service).try_retry(entry_count_, now))) {
         refuse_or_fail(it, status_bad_gateway, reason);
         return;
     }
