--- a/src/router/poison_requests.cpp
+++ b/src/router/poison_requests.cpp
@@ -89,19 +89,19 @@
 
 void known_poison_requests::update(const std::vector<poison_request>& listed, time_point now) {
     std::erase_if(records_, [&](const auto& it) {
-        return !it.second.refused || now - it.second.last_named > refusal_retention;
+        return !it.second.refused || now - it.second.last_listed > refusal_retention;
     });
     for (const auto& it : listed) {
         record& known = records_[it.digest];
         known.refused = known.refused || it.refused;
-        known.last_named = now;
+        known.last_listed = now;
     }
 }
 
 bool known_poison_requests::is_refused(request_digest digest, time_point now) const {
     const auto known = records_.find(digest);
     return known != records_.end() && known->second.refused &&
-           now - known->second.last_named <= refusal_retention;
+           now - known->second.last_listed <= refusal_retention;
 }
 
 bool known_poison_requests::needs_answer_report(request_digest digest) const {
--- a/src/router/poison_requests.h
+++ b/src/router/poison_requests.h
@@ -89,7 +89,7 @@
 private:
     struct record {
         bool refused = false;
-        time_point last_named; ///< when a leader last listed it
+        time_point last_listed; ///< when a leader last listed it
     };
     std::map<request_digest, record> records_;
 };
