--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -90,7 +90,7 @@
     }
     const duration timeout = route->timeout > duration::zero() ? route->timeout : default_time_limit;
     it->deadline = it->arrived + std::min(timeout, it->request.time_limit.value_or(default_time_limit));
-    start_timer(it, it->deadline - it->arrived);
+    start_deadline_timer(it, it->deadline - it->arrived);
     dispatch(it);
 }
 
@@ -110,7 +110,7 @@
     return false;
 }
 
-void dispatcher::start_timer(const request_ptr& it, duration limit) {
+void dispatcher::start_deadline_timer(const request_ptr& it, duration limit) {
     it->timer.expires_after(limit);
     it->timer.async_wait([this, it](const asio::error_code& ec) {
         if (!ec && requests_.contains(it->id)) {
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -99,7 +99,7 @@
     /// @returns true when the request has been answered
     bool reject_if_too_large(const request_ptr& it);
     /// Calls on_timeout() after @p limit.
-    void start_timer(const request_ptr& it, duration limit);
+    void start_deadline_timer(const request_ptr& it, duration limit);
     /// Selects an upstream and forwards, sends or queues the request, or waits for the key's owner.
     void dispatch(const request_ptr& it);
     /// @returns false when this entry sends the request to the upstream itself
--- a/src/router/dispatcher_gates.cpp
+++ b/src/router/dispatcher_gates.cpp
@@ -43,7 +43,7 @@
     out.target_time_left = it->arrived + it->route.target_latency - now;
     it->upstream = queue.target().incarnation.id;
     it->sent_at = now;
-    start_timer(it, out.time_left + gate_answer_time);
+    start_deadline_timer(it, out.time_left + gate_answer_time);
     it->gate_request_number = gates_->forward(it->gate, out, [this, it](routed_result result) {
         it->gate_request_number = 0;
         if (requests_.contains(it->id)) {
@@ -92,7 +92,7 @@
     it->route.timeout = received.time_left;
     it->deadline = now + received.time_left;
     requests_.emplace(it->id, it);
-    start_timer(it, received.time_left);
+    start_deadline_timer(it, received.time_left);
     if (is_refused(it)) {
         refuse(it, "crashes-upstreams");
         return true;
