--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -74,7 +74,7 @@
     }
     const std::string* service = pick_service(*route);
     it->route = *route;
-    if (is_refused(it)) {
+    if (is_refused_poison_request(it)) {
         refuse(it, "crashes-upstreams");
         return;
     }
@@ -332,7 +332,7 @@
     return retry_budgets_.try_emplace(service, settings_.retries).first->second;
 }
 
-bool dispatcher::is_refused(const request_ptr& it) const {
+bool dispatcher::is_refused_poison_request(const request_ptr& it) const {
     return !poison_requests_.empty() &&
            poison_requests_.is_refused(digest_of(it->request, protocol_.id_header()), steady_now());
 }
--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -145,7 +145,7 @@
     void finish(const request_ptr& it, app::http_response answer, const char* outcome);
     void remove(const request_ptr& it);
     /// True for a poison request that the leader has refused.
-    bool is_refused(const request_ptr& it) const;
+    bool is_refused_poison_request(const request_ptr& it) const;
     void report_crashes();
     bool has_key_ranges(const std::string& service) const;
     upstream_use use_of(const std::string& service) const;
--- a/src/router/dispatcher_gates.cpp
+++ b/src/router/dispatcher_gates.cpp
@@ -93,7 +93,7 @@
     it->deadline = now + received.time_left;
     requests_.emplace(it->id, it);
     start_deadline_timer(it, received.time_left);
-    if (is_refused(it)) {
+    if (is_refused_poison_request(it)) {
         refuse(it, "crashes-upstreams");
         return true;
     }
