--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -111,8 +111,8 @@
 }
 
 void dispatcher::start_deadline_timer(const request_ptr& it, duration limit) {
-    it->timer.expires_after(limit);
-    it->timer.async_wait([this, it](const asio::error_code& ec) {
+    it->deadline_timer.expires_after(limit);
+    it->deadline_timer.async_wait([this, it](const asio::error_code& ec) {
         if (!ec && requests_.contains(it->id)) {
             on_timeout(it);
         }
@@ -248,7 +248,7 @@
 }
 
 void dispatcher::remove(const request_ptr& it) {
-    it->timer.cancel();
+    it->deadline_timer.cancel();
     it->wait_timer.cancel();
     if (it->queued) {
         if (const auto found = queues_.find(it->upstream); found != queues_.end()) {
--- a/src/router/in_flight_request.h
+++ b/src/router/in_flight_request.h
@@ -18,8 +18,8 @@
 struct dispatcher::in_flight_request {
     in_flight_request(asio::io_context& context, std::uint64_t number, caller_request received,
                       app::http_reply answer_to, time_point now)
-        : id(number), request(std::move(received)), reply(std::move(answer_to)), arrived(now), timer(context),
-          wait_timer(context) {}
+        : id(number), request(std::move(received)), reply(std::move(answer_to)), arrived(now),
+          deadline_timer(context), wait_timer(context) {}
 
     std::uint64_t id;
     caller_request request;
@@ -27,7 +27,7 @@
     std::size_t header_bytes = 0; ///< of the request line and the headers as the caller sent them
     time_point arrived;
     time_point deadline; ///< the earlier of the caller's and the route's limit
-    asio::steady_timer timer;
+    asio::steady_timer deadline_timer;
     asio::steady_timer wait_timer; ///< ends a backoff, a wait for an owner, or a wait in a queue
     directory::route route;
     std::string service;
