--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -82,7 +82,7 @@
     void set_poison_requests(const std::vector<poison_request>& listed) {
         poison_requests_.update(listed, steady_now());
     }
-    void set_entries(int entries) { entry_count_ = entries < 1 ? 1 : entries; }
+    void set_entry_count(int entries) { entry_count_ = entries < 1 ? 1 : entries; }
     /// Makes every further answer close its connection.
     void start_draining() { draining_ = true; }
     /// Refuses new requests, so that none is interrupted when the process exits.
