--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -252,7 +252,7 @@
     it->wait_timer.cancel();
     if (it->queued) {
         if (const auto found = queues_.find(it->upstream); found != queues_.end()) {
-            found->second->withdraw(it->route.priority, it->id);
+            found->second->remove_waiting(it->route.priority, it->id);
         }
         it->queued = false;
     }
--- a/src/router/dispatcher_answers.cpp
+++ b/src/router/dispatcher_answers.cpp
@@ -52,7 +52,7 @@
         --it->possible_runs;
         if (from != nullptr) {
             if (metadata.wrong_upstream) {
-                from->on_withdrawn();
+                from->on_ended();
             } else {
                 from->on_shed(metadata.load, now);
             }
--- a/src/router/upstream_queue.cpp
+++ b/src/router/upstream_queue.cpp
@@ -51,7 +51,7 @@
 
 void upstream_queue::on_answered(duration service_time, const std::optional<reported_load>& load,
                                  time_point now) {
-    on_withdrawn();
+    on_ended();
     consecutive_failures_ = 0;
     ejected_until_ = {};
     update_service_time(service_time);
@@ -76,7 +76,7 @@
 }
 
 void upstream_queue::on_shed(const std::optional<reported_load>& load, time_point now) {
-    on_withdrawn();
+    on_ended();
     consecutive_failures_ = 0;
     if (load) {
         load_ = *load;
@@ -92,7 +92,7 @@
 }
 
 void upstream_queue::on_failed(time_point now) {
-    on_withdrawn();
+    on_ended();
     ++consecutive_failures_;
     if (consecutive_failures_ >= failures_before_ejection) {
         const auto doublings =
@@ -105,7 +105,7 @@
 }
 
 void upstream_queue::on_overdue(duration elapsed) {
-    on_withdrawn();
+    on_ended();
     if (elapsed > service_time_) {
         update_service_time(elapsed);
     }
@@ -116,7 +116,7 @@
                                                          service_time * service_time_weight);
 }
 
-void upstream_queue::on_withdrawn() {
+void upstream_queue::on_ended() {
     if (in_flight_ > 0) {
         --in_flight_;
     }
--- a/src/router/upstream_queue.h
+++ b/src/router/upstream_queue.h
@@ -44,14 +44,15 @@
     void on_shed(const std::optional<reported_load>& load, time_point now);
     /// The connection could not be made, broke, or timed out.
     void on_failed(time_point now);
-    void on_withdrawn();
+    /// The request ended in a way that shows nothing about the upstream.
+    void on_ended();
     /// The request was given up after @p elapsed, which is a lower bound of its service time.
     void on_overdue(duration elapsed);
 
     void push(std::int32_t priority, std::uint64_t request_id) {
         waiting_.emplace(position{priority, request_id}, request_id);
     }
-    bool withdraw(std::int32_t priority, std::uint64_t request_id) {
+    bool remove_waiting(std::int32_t priority, std::uint64_t request_id) {
         return waiting_.erase({priority, request_id}) > 0;
     }
     std::optional<std::uint64_t> pop();
--- a/tests/router/upstream_queue_test.cpp
+++ b/tests/router/upstream_queue_test.cpp
@@ -72,7 +72,7 @@
         target.push(0, 3);
         CHECK(target.pop() == 2);
         CHECK(target.pop() == 3);
-        CHECK(target.withdraw(2, 1));
+        CHECK(target.remove_waiting(2, 1));
         CHECK_FALSE(target.pop());
     }
 
