--- a/src/router/dispatcher.cpp
+++ b/src/router/dispatcher.cpp
@@ -264,13 +264,13 @@
 }
 
 void dispatcher::on_connection_closed(std::uint64_t connection) {
-    std::vector<request_ptr> left;
+    std::vector<request_ptr> affected;
     for (const auto& [id, it] : requests_) {
         if (it->request.connection == connection) {
-            left.push_back(it);
+            affected.push_back(it);
         }
     }
-    for (const auto& it : left) {
+    for (const auto& it : affected) {
         withdraw(it);
     }
 }
