--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -19,14 +19,14 @@
 using transport::frame_type;
 
 constexpr std::uint64_t control_group_number = 1;
-// Long intervals: a machine may have a tenth of a core and run only in a part of each 100 ms.
+// Long intervals: a process that is limited to a tenth of a core runs only in a part of each 100 ms.
 constexpr duration heartbeat_interval = std::chrono::milliseconds(120);
 constexpr duration election_timeout = std::chrono::milliseconds(700);
 constexpr duration tick_interval = std::chrono::milliseconds(40);
 constexpr duration lease_manager_interval = std::chrono::milliseconds(80);
 constexpr duration join_interval = std::chrono::seconds(1);
 constexpr duration decay_interval = std::chrono::milliseconds(500);
-constexpr double decay_factor = 0.8; ///< demand halves in 1.6 s, about a third of the duration of a hot key
+constexpr double decay_factor = 0.8; ///< the load halves in 1.6 s, about a third of the duration of a hot key
 // Longer than outages of zones and machines.
 constexpr duration max_upstream_silence = std::chrono::seconds(40);
 
@@ -71,7 +71,7 @@
     options.self = self_;
     options.heartbeat_interval = heartbeat_interval;
     options.election_timeout = election_timeout;
-    // Safe because the lease manager waits for a former leader's orders, see on_leadership_change().
+    // Safe because the lease manager waits for a former leader's calls, see on_leadership_change().
     options.elect_after_restart = true;
     options.seed = opened.store->identity();
     group_ =
@@ -191,10 +191,10 @@
         ++lease_manager_generation_;
         lease_manager_term_ = term;
         key_ranges::lease_manager_options options;
-        // Leaves a margin below the longest allowed hold for the clock error of upstreams.
+        // Leaves a margin below the longest allowed lease for the clock error of upstreams.
         options.lease_time = std::min(settings_.max_hold, duration(std::chrono::seconds(9)));
         options.announce_timeout = settings_.announce_interval * 3;
-        // Orders of a former leader may still be in transit.
+        // Calls of a former leader to upstreams may still be in transit.
         lease_manager_ = std::make_unique<key_ranges::lease_manager>(options, now + election_timeout);
         conditions_.clear();
         last_announcements_.clear();
--- a/src/router/control_node.h
+++ b/src/router/control_node.h
@@ -28,9 +28,9 @@
 /// key ranges. Runs on the control thread.
 class control_node : public control_api {
 public:
-    /// Sends an order to an upstream; @p done is called on the control thread.
+    /// Sends a grant or release to an upstream; @p done is called on the control thread.
     using call_sender = std::function<void(
-        key_ranges::call order, std::function<void(key_ranges::call_result, std::string handover)> done)>;
+        key_ranges::call call, std::function<void(key_ranges::call_result, std::string handover)> done)>;
 
     control_node(asio::io_context& context, process_settings settings, call_sender send_call);
     ~control_node() override;
@@ -69,9 +69,11 @@
     void broadcast_status();
     std::string status_payload();
     void propose(const directory::command& change, on_accepted done);
-    /// Forwards an order to the leader; @p done gets its answer, or nullopt when there is none.
+    /// Forwards an order of an upstream or operator to the leader; @p done gets its answer, or nullopt when
+    /// there is none.
     void forward_to_leader(int kind, std::string payload,
                            std::function<void(std::optional<std::string>)> done);
+    /// Whether a newer report of the upstream is known. Otherwise also records the report as the newest one.
     bool is_stale(const announcement& report);
     std::string peer_name(const std::string& ip) const;
 
--- a/src/router/control_process.cpp
+++ b/src/router/control_process.cpp
@@ -59,7 +59,7 @@
 
 private:
     using on_call_result = std::function<void(key_ranges::call_result, std::string handover)>;
-    void send_call(const key_ranges::call& order, on_call_result done);
+    void send_call(const key_ranges::call& call, on_call_result done);
 
     process_settings settings_;
     const protocol_adapter& protocol_;
@@ -80,7 +80,7 @@
                     [this](const std::vector<std::string>& ips) { node_->set_seeds(ips); }) {
     node_ = std::make_unique<control_node>(
         control_.io, settings_,
-        [this](const key_ranges::call& order, on_call_result done) { send_call(order, std::move(done)); });
+        [this](const key_ranges::call& call, on_call_result done) { send_call(call, std::move(done)); });
     metrics_ = make_metrics_server(traffic_.io, settings_, registry_);
     app::http_server_options options;
     options.listen = settings_.control.value();
@@ -97,25 +97,25 @@
         });
 }
 
-void control_process::send_call(const key_ranges::call& order, on_call_result done) {
-    asio::post(traffic_.io, [this, order, done = std::move(done)]() mutable {
+void control_process::send_call(const key_ranges::call& call, on_call_result done) {
+    asio::post(traffic_.io, [this, call, done = std::move(done)]() mutable {
         exchange request;
-        request.target = order.address;
-        request.bytes = protocol_.write_call(order);
-        request.timeout = order.kind == key_ranges::call_kind::grant ? grant_timeout : release_timeout;
-        request.new_connection = order.new_connection;
-        client_.send(std::move(request), [this, order, done = std::move(done)](const exchange_result& it) {
+        request.target = call.address;
+        request.bytes = protocol_.write_call(call);
+        request.timeout = call.kind == key_ranges::call_kind::grant ? grant_timeout : release_timeout;
+        request.new_connection = call.new_connection;
+        client_.send(std::move(request), [this, call, done = std::move(done)](const exchange_result& it) {
             const auto result = to_call_result(it);
+            // Grants and releases are called orders in the names of the metric and the log event.
             registry_
                 .counter_of("orders_total", "orders to upstreams by kind and result",
-                            {{"kind", order.kind == key_ranges::call_kind::grant ? "grant" : "release"},
+                            {{"kind", call.kind == key_ranges::call_kind::grant ? "grant" : "release"},
                              {"result", std::string(to_string(result))}})
                 .add();
             if (result != key_ranges::call_result::done) {
                 spdlog::info("order failed kind={} upstream={} first={} last={} epoch={} result={} status={}",
-                             order.kind == key_ranges::call_kind::grant ? "grant" : "release",
-                             order.target.id, order.first, order.last, order.epoch, to_string(result),
-                             it.answer.status);
+                             call.kind == key_ranges::call_kind::grant ? "grant" : "release", call.target.id,
+                             call.first, call.last, call.epoch, to_string(result), it.answer.status);
             }
             asio::post(control_.io, [done, result, handover = protocol_.read_handover(it.answer)] {
                 done(result, handover);
--- a/src/router/protocol_adapter.h
+++ b/src/router/protocol_adapter.h
@@ -95,7 +95,8 @@
     virtual app::http_response write_answer(app::http_response answer) const = 0;
     virtual app::http_response write_readiness(bool ready) const = 0;
 
-    virtual std::string write_call(const key_ranges::call& order) const = 0;
+    /// Serializes a grant or release to an upstream.
+    virtual std::string write_call(const key_ranges::call& call) const = 0;
     /// Handover token in the answer to a release; empty when there is none.
     virtual std::string read_handover(const app::http_response& answer) const = 0;
 
