--- a/src/router/control_node_orders.cpp
+++ b/src/router/control_node_orders.cpp
@@ -16,7 +16,8 @@
 using transport::encode;
 using transport::frame_type;
 
-constexpr duration forward_timeout = std::chrono::milliseconds(800); ///< callers give up after 1 s
+constexpr duration forward_timeout =
+    std::chrono::milliseconds(800); ///< upstreams and operators give up after 1 s
 
 } // namespace
 
