--- a/src/router/answer_parser.cpp
+++ b/src/router/answer_parser.cpp
@@ -86,7 +86,7 @@
 
 int answer_parser::on_complete(http_parser* parser) {
     parser_of(parser).complete_ = true;
-    // Stops before bytes that follow the answer, so that the caller sees them.
+    // Stops before bytes that follow the answer, so that feed() does not count them as used.
     http_parser_pause(parser, 1);
     return 0;
 }
