--- a/src/router/dispatcher.h
+++ b/src/router/dispatcher.h
@@ -139,7 +139,8 @@
     void on_timeout(const request_ptr& it);
     /// Refuses a request that certainly has not run; one that may have run fails with @p status_in_doubt.
     void refuse_or_fail(const request_ptr& it, int status_in_doubt, const char* reason);
-    /// Answers 503 with Retry-After, which promises that the request has not run.
+    /// Answers 503 with Retry-After, which promises that the request has not run. @p reason goes into the log
+    /// and the metrics; src/app/explain.cpp has a sentence for each reason.
     void refuse(const request_ptr& it, const char* reason);
     void fail(const request_ptr& it, int status, const char* reason);
     void finish(const request_ptr& it, app::http_response answer, const char* outcome);
