--- a/src/router/entry_process.cpp
+++ b/src/router/entry_process.cpp
@@ -22,7 +22,8 @@
 // The load balancer detects an unready entry by two checks that are a second apart.
 constexpr duration min_unready_time = std::chrono::milliseconds(2600);
 constexpr duration stop_poll_interval = std::chrono::milliseconds(50);
-// A request accepted later might not end before the process does.
+// Time after the stop signal from which new requests are refused: they might not end before the process
+// exits.
 constexpr duration refuse_after = std::chrono::milliseconds(3000);
 // Time between the last answer and the kill signal.
 constexpr duration stop_reserve = std::chrono::milliseconds(500);
