--- a/src/router/gate_links.h
+++ b/src/router/gate_links.h
@@ -27,7 +27,7 @@
 /// gate of. Runs on the traffic thread.
 class gate_links : public gate_network {
 public:
-    /// Handlers of what other entries send.
+    /// Handlers of messages from other entries, and of the end of their connections.
     struct receiver {
         /// @returns false when this entry does not accept the request
         std::function<bool(routed_request request, std::uint64_t connection, std::uint64_t number,
