--- a/src/router/upstream_connection.h
+++ b/src/router/upstream_connection.h
@@ -47,7 +47,7 @@
     bool writing_ = false;
     bool sent_ = false; ///< part of the current request may have been sent
     bool reading_ = false;
-    bool stale_answer_ = false; ///< an answer to another request arrived: not reused
+    bool stale_answer_ = false; ///< an answer to another request arrived, so the connection is not reused
     bool closed_ = false;
 };
 
