--- a/tests/platform/dispatcher_test.cpp
+++ b/tests/platform/dispatcher_test.cpp
@@ -52,6 +52,7 @@
     }
 }
 
+// Guards against passing on an answer that did not come from the upstream, or was changed on the way.
 TEST_CASE("a request whose answer is not authentic") {
     // The first answer lacks the upstream's signature.
     int n = 0;
@@ -67,7 +68,7 @@
         CHECK(it.send("/safe/1").status == 200);
         CHECK(it.upstream.requests == 2);
     }
-    SUBCASE("fails without a retry and without a promise when it may run only once") {
+    SUBCASE("fails with 502 and without a retry when it may run only once") {
         CHECK(it.send("/unsafe/1").status == 502);
         CHECK(it.upstream.requests == 1);
     }
@@ -92,8 +93,8 @@
     CHECK(it.upstream.requests == 1);
 }
 
-// Guards against a false promise: a request whose first attempt may have run was refused as not run when a
-// slot became free with less than 15 ms left.
+// Guards against a 503 for a request that may have run: it was refused as not run when a slot became free
+// with less than 15 ms left, although its first attempt may have run.
 TEST_CASE("a request that may have run is not answered as not run") {
     int n = 0;
     harness it([&](const http_request& request) -> std::optional<http_response> {
@@ -121,15 +122,16 @@
     CHECK(first->status != 503);
 }
 
+// Guards against telling a caller that a request has not run although it may have run.
 TEST_CASE("503 is returned only when the upstream states that the request did not run") {
-    SUBCASE("it does") {
+    SUBCASE("the upstream states it") {
         harness it([](const http_request&) {
             return http_response{503, {{"X-Not-Executed", "1"}}, {}, false};
         });
         it.configure();
         CHECK(it.send("/unsafe/1").status == 503);
     }
-    SUBCASE("it does not") {
+    SUBCASE("the upstream does not state it") {
         harness it([](const http_request&) { return http_response{503, {}, {}, false}; });
         it.configure();
         CHECK(it.send("/unsafe/1").status == 502);
@@ -137,6 +139,7 @@
     }
 }
 
+// Guards against requests without an end, and against work at the upstream for a caller that has left.
 TEST_CASE("a request that its upstream does not answer") {
     harness it([](const http_request&) { return std::nullopt; });
     it.configure();
@@ -155,6 +158,7 @@
     }
 }
 
+// Guards against requests that are lost or run twice between an entry and the gate of an upstream.
 TEST_CASE("a request whose upstream has another entry as its gate") {
     harness it([](const http_request& request) { return signed_answer(request); });
     fake_gates gates;
@@ -224,6 +228,8 @@
     }
 }
 
+// Guards against a gate that accepts requests it cannot serve, forwards them in a loop, or continues with
+// withdrawn ones.
 TEST_CASE("a request that another entry forwarded") {
     harness it([](const http_request& request) {
         return request.target == "/held" ? std::nullopt : std::optional(signed_answer(request));
