--- a/tests/router/gate_links_test.cpp
+++ b/tests/router/gate_links_test.cpp
@@ -15,9 +15,9 @@
 constexpr duration max_test_time = std::chrono::seconds(5);
 
 /// An entry with its links; it stores received requests for the test to answer.
-class node {
+class test_entry {
 public:
-    node(asio::io_context& context, const std::string& data_center)
+    test_entry(asio::io_context& context, const std::string& data_center)
         : address{"127.0.0.1", test::free_port()},
           links(context, {{to_string(address), 1}, data_center}, address, callbacks()) {}
 
@@ -71,10 +71,11 @@
 
 } // namespace
 
+// Guards against requests that are changed, lost without a result, or sent to the wrong entry.
 TEST_CASE("entries forward requests to the gate of an upstream") {
     asio::io_context context;
-    node local(context, "north");
-    node remote(context, "south");
+    test_entry local(context, "north");
+    test_entry remote(context, "south");
     const std::vector<entry_instance> entries{{to_string(local.address), "north"},
                                               {to_string(remote.address), "south"}};
     local.links.set_entries(entries);
@@ -89,10 +90,10 @@
     };
     const auto remote_upstream = upstream("u", "south");
 
-    SUBCASE("an upstream of the own data centre has no other gate") {
+    SUBCASE("the only entry of a data centre is the gate of all its upstreams") {
         CHECK(local.links.gate_of(upstream("u", "north")).empty());
     }
-    SUBCASE("an upstream of a data centre without entries has no other gate") {
+    SUBCASE("an upstream of a data centre without entries has no gate") {
         CHECK(local.links.gate_of(upstream("u", "west")).empty());
     }
     SUBCASE("the first request for another data centre starts the link and does not wait for it") {
@@ -139,7 +140,7 @@
             context.run_for(milliseconds(50));
             CHECK_FALSE(result);
         }
-        SUBCASE("a gate that does not accept requests reports it") {
+        SUBCASE("a request that the gate does not accept ends as not accepted") {
             remote.accepts = false;
             std::optional<routed_result> second;
             local.links.forward(to_string(remote.address), make_request(),
@@ -150,7 +151,7 @@
     }
     // Guards against a gate that continues with requests of a dead entry.
     SUBCASE("the gate detects the loss of the entry") {
-        std::optional<node> third(std::in_place, context, "north");
+        std::optional<test_entry> third(std::in_place, context, "north");
         third->links.set_entries(entries);
         REQUIRE(run_until([&] { return !third->links.gate_of(remote_upstream).empty(); }));
         third->links.forward(to_string(remote.address), make_request(), [](const routed_result&) {});
@@ -161,7 +162,7 @@
     }
     // Guards against requests that never end when their gate dies.
     SUBCASE("requests of a lost gate end as lost, and the next entry becomes the gate") {
-        std::optional<node> other(std::in_place, context, "south");
+        std::optional<test_entry> other(std::in_place, context, "south");
         auto more = entries;
         more.push_back({to_string(other->address), "south"});
         local.links.set_entries(more);
