--- a/tests/directory/directory_test.cpp
+++ b/tests/directory/directory_test.cpp
@@ -63,6 +63,8 @@
     CHECK(index.match("other", "/x/z") == nullptr);
 }
 
+// Guards against a directory that returns to an older state, and against entries whose directory differs from
+// that of the control group.
 TEST_CASE("commands change the directory") {
     snapshot state;
     command change;
