--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -123,6 +123,8 @@
     }
 }
 
+// Guards against headers of one connection on another, forged targets, and answers that are misread as run or
+// not run.
 TEST_CASE("the provider's protocol is translated") {
     const auto protocol = make_provider_protocol();
     const directory::upstream target{{"i-7", 1}, "s", "z", {"127.0.0.1", 1}, 2, false, false};
