--- a/tests/router/poison_requests_test.cpp
+++ b/tests/router/poison_requests_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr request_digest poison = 7;
-constexpr request_digest bystander = 8;
+constexpr request_digest unrelated = 8;
 const time_point start{std::chrono::seconds(100)};
 
 directory::upstream upstream_of(const char* id, std::int64_t started_ms, std::uint16_t port) {
@@ -56,7 +56,7 @@
         CHECK_FALSE(detector.on_crash({poison, {"a", 1}}, start));
         CHECK_FALSE(detector.list().front().refused);
     }
-    SUBCASE("three upstreams") {
+    SUBCASE("three crashed upstreams cause a refusal that a late answer does not lift") {
         CHECK_FALSE(detector.on_crash({poison, {"b", 1}}, start));
         CHECK(detector.on_crash({poison, {"a", 2}}, start));
         CHECK(detector.list().front().refused);
@@ -85,15 +85,15 @@
 TEST_CASE("an entry follows the leader's list of poison requests") {
     known_poison_requests known;
     CHECK(known.empty());
-    known.update({{poison, true}, {bystander, false}}, start);
+    known.update({{poison, true}, {unrelated, false}}, start);
     CHECK(known.is_refused(poison, start));
-    CHECK_FALSE(known.is_refused(bystander, start));
-    CHECK(known.needs_answer_report(bystander));
+    CHECK_FALSE(known.is_refused(unrelated, start));
+    CHECK(known.needs_answer_report(unrelated));
     CHECK_FALSE(known.needs_answer_report(poison));
 
     SUBCASE("a request that is not listed any more is forgotten") {
         known.update({{poison, true}}, start);
-        CHECK_FALSE(known.needs_answer_report(bystander));
+        CHECK_FALSE(known.needs_answer_report(unrelated));
     }
     SUBCASE("a new leader with an empty list does not lift a refusal at once") {
         known.update({}, start);
