--- a/tests/router/upstream_client_test.cpp
+++ b/tests/router/upstream_client_test.cpp
@@ -105,7 +105,7 @@
 
 } // namespace
 
-TEST_CASE("a connection is reused") {
+TEST_CASE("consecutive requests reuse one connection") {
     harness it({ok_answer, ok_answer, ok_answer});
     for (int i = 0; i < 3; ++i) {
         const auto result = it.send(it.request());
@@ -124,6 +124,7 @@
     CHECK(it.upstream.connections == 2); // the connection is not reused after a stale answer
 }
 
+// Guards against taking the extra bytes for the answer to the next request.
 TEST_CASE("extra bytes after a complete answer close the connection") {
     harness it({ok_answer + "more", ok_answer});
     CHECK(it.send(it.request()).answer.body == "hi");
@@ -131,17 +132,19 @@
     CHECK(it.upstream.connections == 2);
 }
 
+// Guards against passing on a part of an answer as the whole.
 TEST_CASE("an answer that is cut off is not complete") {
+    // The scripted upstream keeps the connection open after an answer with "Length" in it.
     const std::string cut = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhi";
-    SUBCASE("with a length") {
+    SUBCASE("the rest of a body of known length does not arrive") {
         harness it({cut + "", "reset"});
         CHECK(it.send(it.request()).end == exchange_end::timeout);
     }
-    SUBCASE("before the first byte") {
+    SUBCASE("the connection is closed before the first byte") {
         harness it({""});
         CHECK(it.send(it.request()).end == exchange_end::broken);
     }
-    SUBCASE("by a reset") {
+    SUBCASE("the connection is reset") {
         harness it({"reset"});
         CHECK(it.send(it.request()).end == exchange_end::broken);
     }
@@ -158,6 +161,7 @@
     CHECK(it.send(it.request()).end == exchange_end::malformed);
 }
 
+// Guards against a retry of a request that may run only once and may have arrived.
 TEST_CASE("the result tells whether the request may have arrived") {
     harness it({"silence"});
     SUBCASE("connection refused: not sent") {
