--- a/tests/key_ranges/lease_simulation.h
+++ b/tests/key_ranges/lease_simulation.h
@@ -104,7 +104,7 @@
     };
 
     bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(random_) < p; }
-    duration between(int low_ms, int high_ms) {
+    duration random_duration(int low_ms, int high_ms) {
         return std::chrono::milliseconds(std::uniform_int_distribution<>(low_ms, high_ms)(random_));
     }
 
@@ -122,7 +122,7 @@
     void drain_upstream(int i) {
         auto& it = upstreams_[i];
         it.leaving = true;
-        it.ends_at = now_ + between(2000, 8000);
+        it.ends_at = now_ + random_duration(2000, 8000);
         directory::command change;
         change.upstreams.push_back(state_.upstreams.at(it.incarnation.id));
         change.upstreams.back().draining = true;
@@ -146,7 +146,7 @@
             if (ended || (faults_ && chance(0.0005))) {
                 it.up = false;
                 it.held.clear();
-                it.back_at = now_ + between(500, 6000);
+                it.back_at = now_ + random_duration(500, 6000);
             }
             if (faults_ && it.up && !it.leaving && chance(0.001)) {
                 drain_upstream(i);
@@ -161,7 +161,7 @@
         if (faults_ && chance(0.002)) {
             // The leader loses contact with its followers and resumes in the same term, with the same lease
             // manager.
-            paused_until_ = now_ + between(300, 3000);
+            paused_until_ = now_ + random_duration(300, 3000);
         }
         if (chance(0.05)) {
             // Random keys become hot, so that ranges keep moving.
@@ -197,7 +197,7 @@
         if (now_ >= paused_until_) {
             auto effects = manager_->tick({state_, conditions_, loads_}, now_);
             if (!effects.command.empty()) {
-                commands_.emplace_back(now_ + between(10, 80), effects.command);
+                commands_.emplace_back(now_ + random_duration(10, 80), effects.command);
             }
             for (auto& it : effects.calls) {
                 send(it);
@@ -219,16 +219,17 @@
         const int target = order.target.id.back() - '0';
         auto& it = upstreams_[target];
         if (!it.up || it.cut || (faults_ && chance(0.02))) {
-            outcomes_.push_back({now_ + between(100, 700), manager_number_, order.id, call_result::not_sent});
+            outcomes_.push_back(
+                {now_ + random_duration(100, 700), manager_number_, order.id, call_result::not_sent});
             return;
         }
-        const duration delay = between(1, 60);
+        const duration delay = random_duration(1, 60);
         if (faults_ && chance(0.15)) {
             // Unanswered: it may be carried out seconds later, but its lease time starts at its arrival.
             const duration timeout = std::chrono::milliseconds(700);
             if (chance(0.7)) {
-                deliveries_.push_back(
-                    {now_ + between(2000, 12000), now_ + delay, target, order, false, manager_number_});
+                deliveries_.push_back({now_ + random_duration(2000, 12000), now_ + delay, target, order,
+                                       false, manager_number_});
             }
             outcomes_.push_back({now_ + timeout, manager_number_, order.id, call_result::unanswered});
             return;
@@ -246,7 +247,7 @@
             deliveries_.erase(deliveries_.begin() + static_cast<std::ptrdiff_t>(i));
             const bool done = carry_out(it);
             if (it.answered) {
-                outcomes_.push_back({now_ + between(1, 60), it.manager, it.order.id,
+                outcomes_.push_back({now_ + random_duration(1, 60), it.manager, it.order.id,
                                      done ? call_result::done : call_result::refused});
             }
         }
