--- a/benchmark/placement_hold.cpp
+++ b/benchmark/placement_hold.cpp
@@ -97,7 +97,7 @@
     double partitions_a_month = 2;
     double three_way_share = 0.1;
     duration partition_length = hours(1);
-    double lost_a_month = 0.5;
+    double losses_a_month = 0.5;   ///< of a data centre
     double short_cuts_a_month = 0; ///< 2+1 cuts of 20 s
 };
 
@@ -109,7 +109,7 @@
     const double brief = evaluate(outage::two_plus_one, seconds(20), hold).unserved_s;
     const double month =
         it.partitions_a_month * ((1 - it.three_way_share) * two + it.three_way_share * three) +
-        it.lost_a_month * lost + it.short_cuts_a_month * brief;
+        it.losses_a_month * lost + it.short_cuts_a_month * brief;
     return 12 * month / 3600;
 }
 
@@ -117,8 +117,8 @@
     const bool two = evaluate(outage::two_plus_one, it.partition_length, hold).taken_over;
     const bool lost = evaluate(outage::lost, hours(4), hold).taken_over;
     const bool brief = evaluate(outage::two_plus_one, seconds(20), hold).taken_over;
-    return 12 * ((two ? it.partitions_a_month * (1 - it.three_way_share) : 0) + (lost ? it.lost_a_month : 0) +
-                 (brief ? it.short_cuts_a_month : 0));
+    return 12 * ((two ? it.partitions_a_month * (1 - it.three_way_share) : 0) +
+                 (lost ? it.losses_a_month : 0) + (brief ? it.short_cuts_a_month : 0));
 }
 
 void print_row(const std::string& title, const outage_rates& it, std::vector<double>& worst_regret) {
@@ -160,7 +160,7 @@
         print_row("cuts of " + name_of(length), it, regret);
     }
     outage_rates rarely;
-    rarely.lost_a_month = 1.0 / 12;
+    rarely.losses_a_month = 1.0 / 12;
     print_row("a data centre is lost once a year", rarely, regret);
     rarely.three_way_share = 0.25;
     print_row("the same, three-way cuts 25%", rarely, regret);
@@ -208,7 +208,7 @@
     print_year();
     print_break_even("base rates", {});
     outage_rates rarely_lost;
-    rarely_lost.lost_a_month = 1.0 / 12;
+    rarely_lost.losses_a_month = 1.0 / 12;
     print_break_even("a data centre is lost once a year", rarely_lost);
     outage_rates more_cuts;
     more_cuts.partitions_a_month = 8;
