--- a/src/router/upstream_queue.cpp
+++ b/src/router/upstream_queue.cpp
@@ -11,8 +11,8 @@
 // Ten entries that share two slots need a window of 0.2 each; a smaller one takes seconds to grow again.
 constexpr double min_window = 0.1;
 constexpr double window_increment = 0.25;           ///< added per answer that reports a short queue
-constexpr double small_window_growth_factor = 1.25; ///< instead, while the window is below one
-constexpr double idle_window_growth_factor = 2;     ///< instead, below one, when nothing waits there
+constexpr double small_window_growth_factor = 1.25; ///< per such answer while the window is below one
+constexpr double idle_window_growth_factor = 2;     ///< the same, when no request waits at the upstream
 /// Per answer that reports more waiting requests than slots.
 constexpr double overload_decrease_factor = 0.8;
 constexpr double shed_decrease_factor = 0.5;
