--- a/src/key_ranges/lease_manager.cpp
+++ b/src/key_ranges/lease_manager.cpp
@@ -297,12 +297,13 @@
 void lease_manager::send_grant(lease& held, const upstream& owner, const view& known, time_point now,
                                effects& out) {
     const auto condition = known.conditions.find(owner.incarnation.id);
-    const bool late = condition == known.conditions.end() ||
-                      now - condition->second.last_announced > settings_.announce_timeout / 2;
+    const bool announcement_late = condition == known.conditions.end() ||
+                                   now - condition->second.last_announced > settings_.announce_timeout / 2;
     held.open_call = next_call_id_++;
     calls_[held.open_call] = {owner.service, held.range.first};
     out.calls.push_back({held.open_call, call_kind::grant, held.range.owner, owner.address, held.range.first,
-                         held.range.last, held.range.epoch, settings_.lease_time, held.handover, late});
+                         held.range.last, held.range.epoch, settings_.lease_time, held.handover,
+                         announcement_late});
 }
 
 void lease_manager::send_due_calls(const std::string& service, const view& known, time_point now,
