--- a/include/kingcupseam/placement.h
+++ b/include/kingcupseam/placement.h
@@ -263,7 +263,7 @@
         std::uint64_t version = 0;
         std::map<std::string, duration> holds;
     };
-    struct uncommitted {
+    struct uncommitted_assignment {
         data_center_assignment assignment;
         time_point contact;
     };
@@ -277,7 +277,7 @@
     std::uint64_t last_number_ = 0;
     std::optional<time_point> next_request_;
     std::map<std::uint64_t, sent_request> open_requests_;
-    std::optional<uncommitted> uncommitted_;
+    std::optional<uncommitted_assignment> uncommitted_;
 };
 
 /// Lower bound for the time of the leader's last contact, kept by each voter of a data centre group on its
--- a/src/placement/holder.cpp
+++ b/src/placement/holder.cpp
@@ -64,7 +64,7 @@
         contact_ = std::max(contact_.value_or(request.sent), request.sent);
         return std::nullopt;
     }
-    uncommitted_ = uncommitted{*reply.assigned, request.sent};
+    uncommitted_ = uncommitted_assignment{*reply.assigned, request.sent};
     return reply.assigned;
 }
 
