--- a/src/router/control_links.cpp
+++ b/src/router/control_links.cpp
@@ -57,7 +57,7 @@
 
 void control_links::on_link_state(const std::string& name, bool up) {
     spdlog::info("control instance {} name={}", up ? "reached" : "lost", name);
-    remotes_[name] = {false, 0, up};
+    control_instances_[name] = {false, 0, up};
     if (up) {
         send_join(link(name));
     } else if (source_ == name) {
@@ -76,7 +76,7 @@
 
 void control_links::on_status(const std::string& name, const std::string& payload) {
     const auto status = decode<wire::ControlStatus>(payload);
-    remotes_[name] = {status.leads, status.term, true};
+    control_instances_[name] = {status.leads, status.term, true};
     for (const auto& it : status.control_instances) {
         dial(it);
     }
@@ -97,11 +97,11 @@
 
 void control_links::choose_source() {
     std::string best = source_;
-    for (const auto& [name, it] : remotes_) {
+    for (const auto& [name, it] : control_instances_) {
         if (!it.up) {
             continue;
         }
-        const auto current = remotes_.find(best);
+        const auto current = control_instances_.find(best);
         const bool better =
             best.empty() || (it.leads && (!current->second.leads || it.term > current->second.term));
         if (better) {
@@ -165,8 +165,8 @@
 }
 
 void control_links::send_report(const traffic_report& report) {
-    const auto found = remotes_.find(source_);
-    if (found == remotes_.end() || !found->second.leads) {
+    const auto found = control_instances_.find(source_);
+    if (found == control_instances_.end() || !found->second.leads) {
         return;
     }
     wire::LoadReport out;
--- a/src/router/control_links.h
+++ b/src/router/control_links.h
@@ -59,7 +59,7 @@
     observer callbacks_;
     transport::peer_identity self_;
     directory::snapshot_ptr directory_ = std::make_shared<const directory::snapshot>();
-    std::map<std::string, control_instance> remotes_;
+    std::map<std::string, control_instance> control_instances_;
     std::map<std::string, std::unique_ptr<transport::peer_link>> links_;
     bool leaving_ = false;
     std::string source_; ///< control instance whose directory updates are subscribed to
