--- a/src/app/run_judge.cpp
+++ b/src/app/run_judge.cpp
@@ -30,13 +30,13 @@
     ++result_.files;
     upstream_state upstream;
     for (const auto& line : lines) {
-        if (const auto* opened = std::get_if<record_open>(&line.event)) {
+        if (const auto* opened = std::get_if<process_start_event>(&line.event)) {
             close_grant(upstream, line.at);
             upstream = {*opened, {}};
-        } else if (const auto* run = std::get_if<record_run>(&line.event)) {
+        } else if (const auto* run = std::get_if<run_event>(&line.event)) {
             on_run(upstream, *run, line.at);
         } else {
-            const auto& granted = std::get<record_grant>(line.event);
+            const auto& granted = std::get<grant_event>(line.event);
             auto scope = granted.scope.value_or(upstream.grant.scope);
             close_grant(upstream, line.at);
             upstream.grant = {line.at, granted.until, std::move(scope)};
@@ -45,7 +45,7 @@
     close_grant(upstream, time_point::max());
 }
 
-void run_judge::on_run(const upstream_state& upstream, const record_run& run, time_point at) {
+void run_judge::on_run(const upstream_state& upstream, const run_event& run, time_point at) {
     if (!run.start) {
         return;
     }
--- a/src/app/run_judge.h
+++ b/src/app/run_judge.h
@@ -51,11 +51,11 @@
         std::map<std::string, std::vector<interval>> moved_keys;
     };
     struct upstream_state {
-        record_open identity;
+        process_start_event identity;
         live_grant grant;
     };
 
-    void on_run(const upstream_state& upstream, const record_run& run, time_point at);
+    void on_run(const upstream_state& upstream, const run_event& run, time_point at);
     /// Ends the grant in force at @p at and files it under its shards and keys.
     void close_grant(upstream_state& upstream, time_point at);
     void count_overlaps(const std::string& what, std::vector<interval>& intervals);
--- a/src/app/run_record.cpp
+++ b/src/app/run_record.cpp
@@ -22,14 +22,14 @@
 struct encoder {
     json line;
 
-    void operator()(const record_open& it) {
+    void operator()(const process_start_event& it) {
         line["event"] = "open";
         line["upstream"] = it.upstream;
         line["service"] = it.service;
         line["incarnation"] = it.incarnation;
         line["checks_grants"] = it.checks_grants;
     }
-    void operator()(const record_run& it) {
+    void operator()(const run_event& it) {
         line["event"] = it.start ? "start" : "end";
         line["service"] = it.service;
         line["key"] = it.key;
@@ -39,7 +39,7 @@
         line["epoch"] = it.epoch;
         line["method"] = it.method;
     }
-    void operator()(const record_grant& it) {
+    void operator()(const grant_event& it) {
         line["event"] = "grant";
         line["until"] = microseconds(it.until);
         line["epoch"] = it.epoch;
@@ -51,7 +51,7 @@
     }
 };
 
-record_run decode_run(const json& line, bool start) {
+run_event decode_run(const json& line, bool start) {
     return {start,
             line.at("service"),
             line.at("key"),
@@ -62,8 +62,8 @@
             line.at("method")};
 }
 
-record_grant decode_grant(const json& line) {
-    record_grant result;
+grant_event decode_grant(const json& line) {
+    grant_event result;
     result.until = time_point(duration(line.at("until").get<std::int64_t>()));
     result.epoch = line.at("epoch");
     if (line.contains("shards")) {
@@ -77,8 +77,8 @@
     result.at = time_point(duration(line.at("at").get<std::int64_t>()));
     const auto event = line.at("event").get<std::string>();
     if (event == "open") {
-        result.event = record_open{line.at("upstream"), line.at("service"), line.at("incarnation"),
-                                   line.at("checks_grants")};
+        result.event = process_start_event{line.at("upstream"), line.at("service"), line.at("incarnation"),
+                                           line.at("checks_grants")};
     } else if (event == "grant") {
         result.event = decode_grant(line);
     } else if (event == "start" || event == "end") {
--- a/src/app/run_record.h
+++ b/src/app/run_record.h
@@ -12,14 +12,14 @@
 using grant_scope = ownership::grant_holder::scope;
 
 /// First line of a process; nothing that an earlier process in the same file held is in force any more.
-struct record_open {
+struct process_start_event {
     std::string upstream;
     std::string service;
     std::uint64_t incarnation = 0;
     bool checks_grants = true;
-    bool operator==(const record_open&) const = default;
+    bool operator==(const process_start_event&) const = default;
 };
-struct record_run {
+struct run_event {
     bool start = true; ///< false at the end of the execution
     std::string service;
     std::string key;
@@ -28,18 +28,18 @@
     std::string idempotency_key;
     std::uint64_t epoch = 0;
     std::string method;
-    bool operator==(const record_run&) const = default;
+    bool operator==(const run_event&) const = default;
 };
 /// The grant in force from this line on; replaces the one of the line before.
-struct record_grant {
+struct grant_event {
     time_point until;
     std::uint64_t epoch = 0;
     std::optional<grant_scope> scope; ///< empty: as in the line before
-    bool operator==(const record_grant&) const = default;
+    bool operator==(const grant_event&) const = default;
 };
 struct record_line {
     time_point at;
-    std::variant<record_open, record_run, record_grant> event;
+    std::variant<process_start_event, run_event, grant_event> event;
     bool operator==(const record_line&) const = default;
 };
 
--- a/src/app/stand_in_worker.cpp
+++ b/src/app/stand_in_worker.cpp
@@ -20,8 +20,8 @@
     : context_(context), settings_(settings), holder_(std::random_device{}()), recorder_(settings.record),
       service_times_(settings, steady_now()), faults_(settings.seed + 1) {
     recorder_.append(
-        {steady_now(), record_open{settings_.name, settings_.service, static_cast<std::uint64_t>(::getpid()),
-                                   settings_.checks_grants}});
+        {steady_now(), process_start_event{settings_.name, settings_.service,
+                                           static_cast<std::uint64_t>(::getpid()), settings_.checks_grants}});
 }
 
 void stand_in_worker::submit(stand_in_task task) {
@@ -189,7 +189,7 @@
 
 void stand_in_worker::record_grant_event(bool with_scope, time_point at) {
     recorded_until_ = holder_.live_until();
-    record_grant line;
+    grant_event line;
     line.until = std::max(recorded_until_, time_point{});
     line.epoch = holder_.epoch();
     if (with_scope) {
@@ -199,8 +199,8 @@
 }
 
 void stand_in_worker::record_run_event(const stand_in_task& task, bool start, time_point at) {
-    recorder_.append({at, record_run{start, task.service, task.key, task.shard, task.id, task.idempotency_key,
-                                     task.epoch, task.request.method}});
+    recorder_.append({at, run_event{start, task.service, task.key, task.shard, task.id, task.idempotency_key,
+                                    task.epoch, task.request.method}});
 }
 
 bool stand_in_worker::outside_grant(const stand_in_task& task) const {
--- a/tests/app/run_judge_test.cpp
+++ b/tests/app/run_judge_test.cpp
@@ -24,19 +24,19 @@
     std::vector<record_line> lines;
 
     explicit record(const std::string& name, bool checks_grants = true) {
-        lines.push_back({at(0), record_open{name, "registry", 1, checks_grants}});
+        lines.push_back({at(0), process_start_event{name, "registry", 1, checks_grants}});
     }
     record& grant(int from, int until, std::optional<grant_scope> scope = std::nullopt) {
-        lines.push_back({at(from), record_grant{at(until), 1, std::move(scope)}});
+        lines.push_back({at(from), grant_event{at(until), 1, std::move(scope)}});
         return *this;
     }
     record& run(int time, const std::string& key, const std::string& id, const std::string& method = "POST") {
         lines.push_back(
-            {at(time), record_run{true, "registry", key, shard_of(key, shards), "r", id, 1, method}});
+            {at(time), run_event{true, "registry", key, shard_of(key, shards), "r", id, 1, method}});
         return *this;
     }
     record& restart(int time) {
-        lines.push_back({at(time), record_open{"again", "registry", 2, true}});
+        lines.push_back({at(time), process_start_event{"again", "registry", 2, true}});
         return *this;
     }
 };
--- a/tests/process/request_support.h
+++ b/tests/process/request_support.h
@@ -46,7 +46,7 @@
         std::ifstream in(cluster.record_of(upstream));
         for (std::string line; std::getline(in, line);) {
             const auto parsed = app::decode_record(upstream.name, line);
-            const auto* run = std::get_if<app::record_run>(&parsed.event);
+            const auto* run = std::get_if<app::run_event>(&parsed.event);
             if (run != nullptr && run->start) {
                 ++result.by_key[run->key];
                 ++result.by_idempotency_key[run->idempotency_key];
--- a/tests/process/stand_in_process_test.cpp
+++ b/tests/process/stand_in_process_test.cpp
@@ -180,9 +180,9 @@
     CHECK(child({"stand-in"}).wait(5s) == 2);
     CHECK(child({"load", "--judge", folder.string()}).wait(5s) == 0);
     run_recorder recorder(folder / "u1");
-    recorder.append({steady_now(), record_open{"u1", "registry", 1, false}});
+    recorder.append({steady_now(), process_start_event{"u1", "registry", 1, false}});
     for (int n = 0; n < 2; ++n) {
-        recorder.append({steady_now(), record_run{true, "registry", "k", 1, "r", "id", 1, "POST"}});
+        recorder.append({steady_now(), run_event{true, "registry", "k", 1, "r", "id", 1, "POST"}});
     }
     CHECK(child({"load", "--judge", folder.string()}).wait(5s) == 1);
 }
