--- a/src/app/load_html.cpp
+++ b/src/app/load_html.cpp
@@ -74,11 +74,11 @@
         fmt::format("<h2>{}</h2><svg viewBox='0 0 {} {}' width='{}' role='img' aria-label='{}'>", title,
                     chart_width + 2 * margin, chart_height + 2 * margin, chart_width + 2 * margin, title);
     out += axis_labels(top, seconds);
-    for (const rank kind : all_ranks) {
-        const auto n = static_cast<std::size_t>(kind);
+    for (const rank priority : all_ranks) {
+        const auto n = static_cast<std::size_t>(priority);
         out += line(lines.at(n), top, seconds, colours.at(n));
         out += fmt::format("<text x='{}' y='20' fill='{}'>{}</text>", margin + 110.0 * static_cast<double>(n),
-                           colours.at(n), to_string(kind));
+                           colours.at(n), to_string(priority));
     }
     return out + "</svg>\n";
 }
--- a/src/app/load_options.cpp
+++ b/src/app/load_options.cpp
@@ -101,8 +101,8 @@
         it *= total / sum;
     }
     for (const auto& text : parser.texts("rank-rate")) {
-        const auto [kind, rate] = parse_rank_value("rank-rate", text, max_rate);
-        result.at(index_of(kind)) = rate;
+        const auto [priority, rate] = parse_rank_value("rank-rate", text, max_rate);
+        result.at(index_of(priority)) = rate;
     }
     return result;
 }
@@ -111,8 +111,8 @@
     std::array<duration, rank_count> result{std::chrono::milliseconds(200), std::chrono::seconds(1),
                                             std::chrono::seconds(5)};
     for (const auto& text : split(parser.text("late-after"), ',')) {
-        const auto [kind, ms] = parse_rank_value("late-after", text, max_seconds * 1000);
-        result.at(index_of(kind)) = from_seconds(ms / 1000);
+        const auto [priority, ms] = parse_rank_value("late-after", text, max_seconds * 1000);
+        result.at(index_of(priority)) = from_seconds(ms / 1000);
     }
     return result;
 }
--- a/src/app/load_options.h
+++ b/src/app/load_options.h
@@ -25,7 +25,7 @@
 const firm_work& work_of(const std::string& firm);
 
 struct flood {
-    rank kind = rank::urgent;
+    rank priority = rank::urgent;
     double rate = 0; ///< requests per second on top of the rank's own
     duration from{};
     duration to{};
--- a/src/app/load_report.cpp
+++ b/src/app/load_report.cpp
@@ -61,10 +61,11 @@
     return out;
 }
 
-std::string rank_row(rank kind, const rank_results& it) {
-    return fmt::format("{:<11}{:>9}{:>9}{:>8.2f}%{:>8}{:>9}{:>9}{:>7}{:>7}{:>7}{:>7}{:>7}", to_string(kind),
-                       it.sent, it.answered, service(it) * 100, it.late, it.not_run_total(), it.unknown,
-                       it.lost, it.errors, it.wrong, it.double_runs, it.false_not_run);
+std::string rank_row(rank priority, const rank_results& it) {
+    return fmt::format("{:<11}{:>9}{:>9}{:>8.2f}%{:>8}{:>9}{:>9}{:>7}{:>7}{:>7}{:>7}{:>7}",
+                       to_string(priority), it.sent, it.answered, service(it) * 100, it.late,
+                       it.not_run_total(), it.unknown, it.lost, it.errors, it.wrong, it.double_runs,
+                       it.false_not_run);
 }
 
 } // namespace
@@ -73,22 +74,22 @@
     std::string out = fmt::format("{:<11}{:>9}{:>9}{:>9}{:>8}{:>9}{:>9}{:>7}{:>7}{:>7}{:>7}{:>7}\n", "rank",
                                   "sent", "answered", "service", "late", "not-run", "unknown", "lost",
                                   "errors", "wrong", "double", "false");
-    for (const rank kind : all_ranks) {
-        out += rank_row(kind, results.ranks.at(static_cast<std::size_t>(kind))) + '\n';
+    for (const rank priority : all_ranks) {
+        out += rank_row(priority, results.ranks.at(static_cast<std::size_t>(priority))) + '\n';
     }
     out += fmt::format("\n{:<11}{:>10}{:>10}{:>10}{:>10}{:>10}\n", "latency ms", "p50", "p90", "p99", "p99.9",
                        "max");
-    for (const rank kind : all_ranks) {
-        const auto& it = results.ranks.at(static_cast<std::size_t>(kind));
-        out += fmt::format("{:<11}", to_string(kind));
+    for (const rank priority : all_ranks) {
+        const auto& it = results.ranks.at(static_cast<std::size_t>(priority));
+        out += fmt::format("{:<11}", to_string(priority));
         for (const auto& [name, fraction] : quantiles) {
             out += fmt::format("{:>10.2f}", ms(it.latency->quantile(fraction)));
         }
         out += fmt::format("{:>10.2f}\n", ms(it.latency->max()));
     }
-    for (const rank kind : all_ranks) {
-        for (const auto& [reason, n] : results.ranks.at(static_cast<std::size_t>(kind)).not_run) {
-            out += fmt::format("not-run {} {}: {}\n", to_string(kind), reason, n);
+    for (const rank priority : all_ranks) {
+        for (const auto& [reason, n] : results.ranks.at(static_cast<std::size_t>(priority)).not_run) {
+            out += fmt::format("not-run {} {}: {}\n", to_string(priority), reason, n);
         }
     }
     return results.judged ? out + judgement_text(*results.judged) : out;
@@ -96,9 +97,9 @@
 
 std::string load_json(const load_options& settings, const load_results& results) {
     json out{{"firm", settings.firm}, {"seed", settings.seed}, {"seconds", results.measured_seconds}};
-    for (const rank kind : all_ranks) {
-        out["ranks"][std::string(to_string(kind))] =
-            rank_json(results.ranks.at(static_cast<std::size_t>(kind)));
+    for (const rank priority : all_ranks) {
+        out["ranks"][std::string(to_string(priority))] =
+            rank_json(results.ranks.at(static_cast<std::size_t>(priority)));
     }
     if (results.judged) {
         out["records"] = judgement_json(*results.judged);
@@ -111,9 +112,9 @@
     std::string out =
         "rank,sent,answered,late,not_run,unknown,lost,errors,resent,wrong,double_runs,false_not_run,p50_ms,"
         "p90_ms,p99_ms,p99.9_ms,max_ms\n";
-    for (const rank kind : all_ranks) {
-        const auto& it = results.ranks.at(static_cast<std::size_t>(kind));
-        out += fmt::format("{},{},{},{},{},{},{},{},{},{},{},{}", to_string(kind), it.sent, it.answered,
+    for (const rank priority : all_ranks) {
+        const auto& it = results.ranks.at(static_cast<std::size_t>(priority));
+        out += fmt::format("{},{},{},{},{},{},{},{},{},{},{},{}", to_string(priority), it.sent, it.answered,
                            it.late, it.not_run_total(), it.unknown, it.lost, it.errors, it.resent, it.wrong,
                            it.double_runs, it.false_not_run);
         for (const auto& [name, fraction] : quantiles) {
--- a/src/app/load_runner.cpp
+++ b/src/app/load_runner.cpp
@@ -73,7 +73,7 @@
     ++in_progress_;
     it->outstanding = 1;
     send_attempt(it);
-    const auto& work = work_.at(static_cast<std::size_t>(plan.kind));
+    const auto& work = work_.at(static_cast<std::size_t>(plan.priority));
     if (!repeatable(work) && draw(settings_.resend_fraction)) {
         ++it->outstanding;
         const auto longest = std::chrono::duration_cast<duration>(max_spontaneous_delay).count();
@@ -109,7 +109,7 @@
 }
 
 http_call load_runner::make_call(const request& it, std::size_t address) const {
-    const auto& work = work_.at(static_cast<std::size_t>(it.plan.kind));
+    const auto& work = work_.at(static_cast<std::size_t>(it.plan.priority));
     http_call call;
     call.method = work.method;
     call.url = "http://" + to_string(settings_.addresses[address]) + work.path(it.plan.key);
@@ -141,7 +141,7 @@
 }
 
 void load_runner::resend_when_unclear(const request_ptr& it, bool unclear) {
-    const auto& work = work_.at(static_cast<std::size_t>(it->plan.kind));
+    const auto& work = work_.at(static_cast<std::size_t>(it->plan.priority));
     if (unclear && !repeatable(work) && it->attempts < max_attempts && draw(settings_.resend_fraction)) {
         ++it->outstanding;
         send_later(it, resend_delay);
@@ -163,7 +163,7 @@
 }
 
 void load_runner::judge_body(request& it, const http_response& answer) {
-    const auto& work = work_.at(static_cast<std::size_t>(it.plan.kind));
+    const auto& work = work_.at(static_cast<std::size_t>(it.plan.priority));
     const auto body = decode_answer(answer.body);
     const bool own = body && body->key == it.plan.key && body->idempotency_key == it.idempotency_key &&
                      body->method == work.method && body->path == work.path(it.plan.key);
@@ -185,7 +185,7 @@
         // Waits on pooled connections that never become ready would keep the context running.
         context_.stop();
     }
-    auto& results = results_.ranks.at(static_cast<std::size_t>(it.plan.kind));
+    auto& results = results_.ranks.at(static_cast<std::size_t>(it.plan.priority));
     // What must never happen counts during the warm-up too.
     results.wrong += it.wrong ? 1 : 0;
     results.double_runs += it.differing ? 1 : 0;
@@ -193,7 +193,7 @@
     if (told_not_run && !it.failed) {
         results.not_run_keys.push_back(it.idempotency_key);
     }
-    if (!repeatable(work_.at(static_cast<std::size_t>(it.plan.kind))) && !it.differing) {
+    if (!repeatable(work_.at(static_cast<std::size_t>(it.plan.priority))) && !it.differing) {
         results.at_most_once_keys.push_back(it.idempotency_key);
     }
     if (it.plan.at >= settings_.warmup) {
@@ -212,7 +212,8 @@
     }
     if (it.correct) {
         ++results.answered;
-        results.late += it.latency > settings_.late_after.at(static_cast<std::size_t>(it.plan.kind)) ? 1 : 0;
+        results.late +=
+            it.latency > settings_.late_after.at(static_cast<std::size_t>(it.plan.priority)) ? 1 : 0;
         results.latency->record(static_cast<std::uint64_t>(it.latency.count()));
         second.latencies.push_back(static_cast<std::uint32_t>(it.latency.count()));
     } else if (it.unknown) {
--- a/src/app/load_workload.cpp
+++ b/src/app/load_workload.cpp
@@ -41,10 +41,10 @@
     }
 }
 
-workload::rate_period workload::rate_at(std::size_t kind, double at) const {
-    rate_period result{settings_.rates.at(kind), std::numeric_limits<double>::infinity()};
+workload::rate_period workload::rate_at(std::size_t rank_index, double at) const {
+    rate_period result{settings_.rates.at(rank_index), std::numeric_limits<double>::infinity()};
     for (const auto& it : settings_.floods) {
-        if (static_cast<std::size_t>(it.kind) != kind) {
+        if (static_cast<std::size_t>(it.priority) != rank_index) {
             continue;
         }
         const double from = seconds(it.from);
@@ -60,10 +60,10 @@
 }
 
 /// Where the rate changes the interval is drawn anew from there, which is exact since it has no memory.
-void workload::advance(std::size_t kind) {
-    auto& source = sources_.at(kind);
+void workload::advance(std::size_t rank_index) {
+    auto& source = sources_.at(rank_index);
     while (source.at < length_) {
-        const auto period = rate_at(kind, source.at);
+        const auto period = rate_at(rank_index, source.at);
         double next = std::numeric_limits<double>::infinity();
         if (period.rate > 0) {
             next = source.at + std::exponential_distribution<double>(period.rate)(source.random);
--- a/src/app/load_workload.h
+++ b/src/app/load_workload.h
@@ -13,7 +13,7 @@
 /// One request of the load, at its intended time since the start.
 struct planned_request {
     duration at{};
-    rank kind = rank::urgent;
+    rank priority = rank::urgent;
     std::string key;
     auto operator<=>(const planned_request&) const = default;
 };
@@ -35,8 +35,8 @@
         double until = 0;
     };
 
-    rate_period rate_at(std::size_t kind, double at) const;
-    void advance(std::size_t kind);
+    rate_period rate_at(std::size_t rank_index, double at) const;
+    void advance(std::size_t rank_index);
     std::string draw_key(double at);
 
     const load_options settings_;
--- a/tests/app/load_test.cpp
+++ b/tests/app/load_test.cpp
@@ -69,8 +69,8 @@
     return it;
 }
 
-const rank_results& of(const load_results& results, rank kind) {
-    return results.ranks.at(static_cast<std::size_t>(kind));
+const rank_results& of(const load_results& results, rank priority) {
+    return results.ranks.at(static_cast<std::size_t>(priority));
 }
 
 } // namespace
@@ -80,10 +80,10 @@
     auto settings = short_load(instance.address);
     SUBCASE("all are answered") {
         const auto results = load_runner(settings).run();
-        for (const rank kind : all_ranks) {
-            CHECK(of(results, kind).sent > 20);
-            CHECK(of(results, kind).answered == of(results, kind).sent);
-            CHECK(of(results, kind).latency->count() == of(results, kind).sent);
+        for (const rank priority : all_ranks) {
+            CHECK(of(results, priority).sent > 20);
+            CHECK(of(results, priority).answered == of(results, priority).sent);
+            CHECK(of(results, priority).latency->count() == of(results, priority).sent);
         }
         CHECK_FALSE(results.violated());
     }
--- a/tests/app/options_test.cpp
+++ b/tests/app/options_test.cpp
@@ -142,7 +142,7 @@
         settings.floods = {{rank::deferrable, 1000, 2s, 4s}};
         std::size_t count = 0;
         for (const auto& it : plan(settings)) {
-            if (it.kind == rank::deferrable) {
+            if (it.priority == rank::deferrable) {
                 ++count;
                 CHECK(it.at >= 2s);
                 CHECK(it.at < 4s);
