--- a/src/app/load_options.cpp
+++ b/src/app/load_options.cpp
@@ -120,7 +120,7 @@
 void read_load(const option_parser& parser, load_options& result) {
     result.addresses = parser.endpoints("address");
     result.firm = parser.text("firm");
-    work_of(result.firm);
+    requests_of_firm(result.firm);
     result.rates = read_rates(parser);
     result.length = parser.seconds("duration", 0, max_seconds);
     result.warmup = parser.seconds("warmup", 0, max_seconds);
@@ -146,13 +146,13 @@
 
 } // namespace
 
-const firm_work& work_of(const std::string& firm) {
-    static const firm_work navalsig{{{"GET", "/registry/rafts/", "/history"},
-                                     {"POST", "/registry/rafts/", "/bookings"},
-                                     {"POST", "/repack/rafts/", "/orders"}}};
-    static const firm_work cairnmark{{{"GET", "/records/sites/", "/reports"},
-                                      {"POST", "/records/sites/", "/signoffs"},
-                                      {"POST", "/ledger/sites/", "/invoices"}}};
+const firm_requests& requests_of_firm(const std::string& firm) {
+    static const firm_requests navalsig{{{"GET", "/registry/rafts/", "/history"},
+                                         {"POST", "/registry/rafts/", "/bookings"},
+                                         {"POST", "/repack/rafts/", "/orders"}}};
+    static const firm_requests cairnmark{{{"GET", "/records/sites/", "/reports"},
+                                          {"POST", "/records/sites/", "/signoffs"},
+                                          {"POST", "/ledger/sites/", "/invoices"}}};
     if (firm != "navalsig" && firm != "cairnmark") {
         throw invalid_input("load", "--firm", "must be navalsig or cairnmark");
     }
--- a/src/app/load_options.h
+++ b/src/app/load_options.h
@@ -13,16 +13,16 @@
 namespace kingcupseam::app {
 
 /// Method and path of one rank of a firm; the key stands between prefix and suffix.
-struct work_kind {
+struct request_template {
     std::string method;
     std::string path_prefix;
     std::string path_suffix;
     std::string path(const std::string& key) const { return path_prefix + key + path_suffix; }
 };
-using firm_work = std::array<work_kind, rank_count>;
+using firm_requests = std::array<request_template, rank_count>;
 
 /// @throws invalid_input unless @p firm is navalsig or cairnmark
-const firm_work& work_of(const std::string& firm);
+const firm_requests& requests_of_firm(const std::string& firm);
 
 struct flood {
     rank priority = rank::urgent;
--- a/src/app/load_runner.cpp
+++ b/src/app/load_runner.cpp
@@ -25,14 +25,14 @@
     return {};
 }
 
-bool repeatable(const work_kind& work) {
-    return work.method == "GET";
+bool repeatable(const request_template& call_template) {
+    return call_template.method == "GET";
 }
 
 } // namespace
 
 load_runner::load_runner(const load_options& settings)
-    : settings_(settings), work_(work_of(settings.firm)),
+    : settings_(settings), request_templates_(requests_of_firm(settings.firm)),
       client_(context_,
               {.max_connections_per_host = settings.connections, .max_response_bytes = 16UL * 1024 * 1024}),
       timer_(context_), progress_timer_(context_), workload_(settings), random_(settings.seed + 100),
@@ -73,8 +73,8 @@
     ++in_progress_;
     it->outstanding = 1;
     send_attempt(it);
-    const auto& work = work_.at(static_cast<std::size_t>(plan.priority));
-    if (!repeatable(work) && draw(settings_.resend_fraction)) {
+    const auto& call_template = request_templates_.at(static_cast<std::size_t>(plan.priority));
+    if (!repeatable(call_template) && draw(settings_.resend_fraction)) {
         ++it->outstanding;
         const auto longest = std::chrono::duration_cast<duration>(max_spontaneous_delay).count();
         send_later(it, duration(std::uniform_int_distribution<std::int64_t>(0, longest)(random_)));
@@ -109,12 +109,12 @@
 }
 
 http_call load_runner::make_call(const request& it, std::size_t address) const {
-    const auto& work = work_.at(static_cast<std::size_t>(it.plan.priority));
+    const auto& call_template = request_templates_.at(static_cast<std::size_t>(it.plan.priority));
     http_call call;
-    call.method = work.method;
-    call.url = "http://" + to_string(settings_.addresses[address]) + work.path(it.plan.key);
+    call.method = call_template.method;
+    call.url = "http://" + to_string(settings_.addresses[address]) + call_template.path(it.plan.key);
     call.headers = {{"Idempotency-Key", it.idempotency_key}};
-    if (!repeatable(work)) {
+    if (!repeatable(call_template)) {
         call.headers.emplace_back("Content-Type", "application/octet-stream");
         call.body = body_;
     }
@@ -141,8 +141,9 @@
 }
 
 void load_runner::resend_when_unclear(const request_ptr& it, bool unclear) {
-    const auto& work = work_.at(static_cast<std::size_t>(it->plan.priority));
-    if (unclear && !repeatable(work) && it->attempts < max_attempts && draw(settings_.resend_fraction)) {
+    const auto& call_template = request_templates_.at(static_cast<std::size_t>(it->plan.priority));
+    if (unclear && !repeatable(call_template) && it->attempts < max_attempts &&
+        draw(settings_.resend_fraction)) {
         ++it->outstanding;
         send_later(it, resend_delay);
     }
@@ -163,10 +164,10 @@
 }
 
 void load_runner::judge_body(request& it, const http_response& answer) {
-    const auto& work = work_.at(static_cast<std::size_t>(it.plan.priority));
+    const auto& call_template = request_templates_.at(static_cast<std::size_t>(it.plan.priority));
     const auto body = decode_answer(answer.body);
     const bool own = body && body->key == it.plan.key && body->idempotency_key == it.idempotency_key &&
-                     body->method == work.method && body->path == work.path(it.plan.key);
+                     body->method == call_template.method && body->path == call_template.path(it.plan.key);
     if (!own) {
         it.wrong = true;
         return;
@@ -176,7 +177,7 @@
         it.latency = elapsed() - it.plan.at;
         it.execution = body->executions;
     }
-    it.differing = it.differing || (!repeatable(work) && body->executions != it.execution);
+    it.differing = it.differing || (!repeatable(call_template) && body->executions != it.execution);
 }
 
 void load_runner::finish(const request& it) {
@@ -193,7 +194,7 @@
     if (told_not_run && !it.failed) {
         results.not_run_keys.push_back(it.idempotency_key);
     }
-    if (!repeatable(work_.at(static_cast<std::size_t>(it.plan.priority))) && !it.differing) {
+    if (!repeatable(request_templates_.at(static_cast<std::size_t>(it.plan.priority))) && !it.differing) {
         results.at_most_once_keys.push_back(it.idempotency_key);
     }
     if (it.plan.at >= settings_.warmup) {
--- a/src/app/load_runner.h
+++ b/src/app/load_runner.h
@@ -55,7 +55,7 @@
     void show_progress();
 
     const load_options settings_;
-    const firm_work& work_;
+    const firm_requests& request_templates_;
     asio::io_context context_{1};
     http_client client_;
     asio::steady_timer timer_;
