--- a/src/app/load_runner.cpp
+++ b/src/app/load_runner.cpp
@@ -25,7 +25,7 @@
     return {};
 }
 
-bool repeatable(const request_template& call_template) {
+bool is_idempotent(const request_template& call_template) {
     return call_template.method == "GET";
 }
 
@@ -74,7 +74,7 @@
     it->outstanding = 1;
     send_attempt(it);
     const auto& call_template = request_templates_.at(static_cast<std::size_t>(plan.priority));
-    if (!repeatable(call_template) && draw(settings_.resend_fraction)) {
+    if (!is_idempotent(call_template) && draw(settings_.resend_fraction)) {
         ++it->outstanding;
         const auto longest = std::chrono::duration_cast<duration>(max_spontaneous_delay).count();
         send_later(it, duration(std::uniform_int_distribution<std::int64_t>(0, longest)(random_)));
@@ -114,7 +114,7 @@
     call.method = call_template.method;
     call.url = "http://" + to_string(settings_.addresses[address]) + call_template.path(it.plan.key);
     call.headers = {{"Idempotency-Key", it.idempotency_key}};
-    if (!repeatable(call_template)) {
+    if (!is_idempotent(call_template)) {
         call.headers.emplace_back("Content-Type", "application/octet-stream");
         call.body = body_;
     }
@@ -142,7 +142,7 @@
 
 void load_runner::resend_when_unclear(const request_ptr& it, bool unclear) {
     const auto& call_template = request_templates_.at(static_cast<std::size_t>(it->plan.priority));
-    if (unclear && !repeatable(call_template) && it->attempts < max_attempts &&
+    if (unclear && !is_idempotent(call_template) && it->attempts < max_attempts &&
         draw(settings_.resend_fraction)) {
         ++it->outstanding;
         send_later(it, resend_delay);
@@ -177,7 +177,7 @@
         it.latency = elapsed() - it.plan.at;
         it.execution = body->executions;
     }
-    it.differing = it.differing || (!repeatable(call_template) && body->executions != it.execution);
+    it.differing = it.differing || (!is_idempotent(call_template) && body->executions != it.execution);
 }
 
 void load_runner::finish(const request& it) {
@@ -194,7 +194,7 @@
     if (told_not_run && !it.failed) {
         results.not_run_keys.push_back(it.idempotency_key);
     }
-    if (!repeatable(request_templates_.at(static_cast<std::size_t>(it.plan.priority))) && !it.differing) {
+    if (!is_idempotent(request_templates_.at(static_cast<std::size_t>(it.plan.priority))) && !it.differing) {
         results.at_most_once_keys.push_back(it.idempotency_key);
     }
     if (it.plan.at >= settings_.warmup) {
--- a/src/app/run_judge.cpp
+++ b/src/app/run_judge.cpp
@@ -51,8 +51,8 @@
     }
     ++result_.runs;
     ++result_.runs_by_idempotency_key[run.idempotency_key];
-    const bool repeatable = run.method == "GET" || run.method == "HEAD";
-    if (!repeatable && ++at_most_once_starts_[run.idempotency_key] == 2) {
+    const bool idempotent = run.method == "GET" || run.method == "HEAD";
+    if (!idempotent && ++at_most_once_starts_[run.idempotency_key] == 2) {
         ++result_.double_runs;
         note("idempotency key " + run.idempotency_key + " ran again on " + upstream.identity.upstream);
     }
