--- a/src/app/load.cpp
+++ b/src/app/load.cpp
@@ -22,16 +22,16 @@
     }
 }
 
-std::string to_text(const load_options& settings, const load_results& results) {
+std::string format_report(const load_options& settings, const load_results& results) {
     switch (settings.output) {
     case load_output::json:
-        return load_json(settings, results);
+        return format_json_report(settings, results);
     case load_output::csv:
-        return load_csv(results);
+        return format_csv_report(results);
     case load_output::table:
         break;
     }
-    return load_table(results);
+    return format_table_report(results);
 }
 
 } // namespace
@@ -49,9 +49,9 @@
         results.add_judgement(judge_folder(settings->judge, settings->judge_shards));
     }
     if (!settings->html.empty()) {
-        write_file(settings->html, load_html(*settings, results));
+        write_file(settings->html, format_html_report(*settings, results));
     }
-    std::fputs(to_text(*settings, results).c_str(), stdout);
+    std::fputs(format_report(*settings, results).c_str(), stdout);
     return results.violated() ? exit_failure : exit_success;
 }
 
--- a/src/app/load_html.cpp
+++ b/src/app/load_html.cpp
@@ -110,7 +110,7 @@
 
 } // namespace
 
-std::string load_html(const load_options& settings, const load_results& results) {
+std::string format_html_report(const load_options& settings, const load_results& results) {
     std::array<series, rank_count> latency;
     std::array<series, rank_count> service;
     for (std::size_t n = 0; n < rank_count; ++n) {
@@ -122,7 +122,7 @@
         "body{font:14px sans-serif;margin:2em}svg text{font:12px sans-serif}</style></head><body>";
     out += fmt::format("<h1>Load report: {}</h1><p>{:.0f} s measured, seed {}</p>", settings.firm,
                        results.measured_seconds, settings.seed);
-    out += "<pre>" + escaped(load_table(results)) + "</pre>";
+    out += "<pre>" + escaped(format_table_report(results)) + "</pre>";
     out += chart("Latency, 99th percentile per second, ms", latency, highest(latency));
     out += chart("Requests answered once and correctly, per cent of each second", service, 100);
     return out + "</body></html>\n";
--- a/src/app/load_report.cpp
+++ b/src/app/load_report.cpp
@@ -70,7 +70,7 @@
 
 } // namespace
 
-std::string load_table(const load_results& results) {
+std::string format_table_report(const load_results& results) {
     std::string out = fmt::format("{:<11}{:>9}{:>9}{:>9}{:>8}{:>9}{:>9}{:>7}{:>7}{:>7}{:>7}{:>7}\n", "rank",
                                   "sent", "answered", "service", "late", "not-run", "unknown", "lost",
                                   "errors", "wrong", "double", "false");
@@ -95,7 +95,7 @@
     return results.judged ? out + judgement_text(*results.judged) : out;
 }
 
-std::string load_json(const load_options& settings, const load_results& results) {
+std::string format_json_report(const load_options& settings, const load_results& results) {
     json out{{"firm", settings.firm}, {"seed", settings.seed}, {"seconds", results.measured_seconds}};
     for (const rank priority : all_ranks) {
         out["ranks"][std::string(to_string(priority))] =
@@ -108,7 +108,7 @@
     return out.dump(2) + '\n';
 }
 
-std::string load_csv(const load_results& results) {
+std::string format_csv_report(const load_results& results) {
     std::string out =
         "rank,sent,answered,late,not_run,unknown,lost,errors,resent,wrong,double_runs,false_not_run,p50_ms,"
         "p90_ms,p99_ms,p99.9_ms,max_ms\n";
--- a/src/app/load_report.h
+++ b/src/app/load_report.h
@@ -7,10 +7,10 @@
 
 namespace kingcupseam::app {
 
-std::string load_table(const load_results& results);
-std::string load_json(const load_options& settings, const load_results& results);
-std::string load_csv(const load_results& results);
+std::string format_table_report(const load_results& results);
+std::string format_json_report(const load_options& settings, const load_results& results);
+std::string format_csv_report(const load_results& results);
 /// A self-contained page with latency and service per rank over time.
-std::string load_html(const load_options& settings, const load_results& results);
+std::string format_html_report(const load_options& settings, const load_results& results);
 
 } // namespace kingcupseam::app
--- a/tests/app/load_test.cpp
+++ b/tests/app/load_test.cpp
@@ -69,7 +69,7 @@
     return it;
 }
 
-const rank_results& of(const load_results& results, rank priority) {
+const rank_results& results_of(const load_results& results, rank priority) {
     return results.ranks.at(static_cast<std::size_t>(priority));
 }
 
@@ -81,39 +81,39 @@
     SUBCASE("all are answered") {
         const auto results = load_runner(settings).run();
         for (const rank priority : all_ranks) {
-            CHECK(of(results, priority).sent > 20);
-            CHECK(of(results, priority).answered == of(results, priority).sent);
-            CHECK(of(results, priority).latency->count() == of(results, priority).sent);
+            CHECK(results_of(results, priority).sent > 20);
+            CHECK(results_of(results, priority).answered == results_of(results, priority).sent);
+            CHECK(results_of(results, priority).latency->count() == results_of(results, priority).sent);
         }
         CHECK_FALSE(results.violated());
     }
     SUBCASE("the warm-up is not counted") {
         settings.warmup = 500ms;
-        CHECK(of(load_runner(settings).run(), rank::urgent).sent == 0);
+        CHECK(results_of(load_runner(settings).run(), rank::urgent).sent == 0);
     }
     SUBCASE("an address that refuses connections is passed over") {
         settings.addresses = {{"127.0.0.1", test::free_port()}, instance.address};
         const auto results = load_runner(settings).run();
-        CHECK(of(results, rank::urgent).answered == of(results, rank::urgent).sent);
+        CHECK(results_of(results, rank::urgent).answered == results_of(results, rank::urgent).sent);
     }
     SUBCASE("without any address that accepts, requests are errors") {
         settings.addresses = {{"127.0.0.1", test::free_port()}};
         const auto results = load_runner(settings).run();
-        CHECK(of(results, rank::urgent).errors == of(results, rank::urgent).sent);
+        CHECK(results_of(results, rank::urgent).errors == results_of(results, rank::urgent).sent);
     }
     SUBCASE("slower answers than allowed are late") {
         settings.late_after = {duration(1), 1s, 1s};
         const auto results = load_runner(settings).run();
-        CHECK(of(results, rank::urgent).late == of(results, rank::urgent).sent);
-        CHECK(of(results, rank::standard).late == 0);
+        CHECK(results_of(results, rank::urgent).late == results_of(results, rank::urgent).sent);
+        CHECK(results_of(results, rank::standard).late == 0);
     }
     SUBCASE("each form of the report is complete") {
         const auto results = load_runner(settings).run();
-        const auto json = nlohmann::json::parse(load_json(settings, results));
-        CHECK(json.at("ranks").at("urgent").at("answered") == of(results, rank::urgent).answered);
-        CHECK(load_table(results).find("deferrable") != std::string::npos);
-        CHECK(load_csv(results).find("\nstandard,") != std::string::npos);
-        CHECK(load_html(settings, results).find("<polyline") != std::string::npos);
+        const auto json = nlohmann::json::parse(format_json_report(settings, results));
+        CHECK(json.at("ranks").at("urgent").at("answered") == results_of(results, rank::urgent).answered);
+        CHECK(format_table_report(results).find("deferrable") != std::string::npos);
+        CHECK(format_csv_report(results).find("\nstandard,") != std::string::npos);
+        CHECK(format_html_report(settings, results).find("<polyline") != std::string::npos);
     }
 }
 
@@ -125,8 +125,8 @@
             return ran(answer);
         });
         const auto results = load_runner(short_load(instance.address)).run();
-        CHECK(of(results, rank::urgent).wrong == of(results, rank::urgent).sent);
-        CHECK(of(results, rank::urgent).answered == 0);
+        CHECK(results_of(results, rank::urgent).wrong == results_of(results, rank::urgent).sent);
+        CHECK(results_of(results, rank::urgent).answered == 0);
         CHECK(results.violated());
     }
     SUBCASE("a damaged body") {
@@ -135,7 +135,7 @@
             response.body.pop_back();
             return response;
         });
-        CHECK(of(load_runner(short_load(instance.address)).run(), rank::standard).wrong > 0);
+        CHECK(results_of(load_runner(short_load(instance.address)).run(), rank::standard).wrong > 0);
     }
     SUBCASE("two executions of one at-most-once request, seen in its answers") {
         std::atomic<std::uint64_t> executions = 0;
@@ -147,8 +147,8 @@
         auto settings = short_load(instance.address);
         settings.resend_fraction = 1;
         const auto results = load_runner(settings).run();
-        CHECK(of(results, rank::standard).double_runs == of(results, rank::standard).sent);
-        CHECK(of(results, rank::urgent).double_runs == 0);
+        CHECK(results_of(results, rank::standard).double_runs == results_of(results, rank::standard).sent);
+        CHECK(results_of(results, rank::urgent).double_runs == 0);
         CHECK(results.violated());
     }
     SUBCASE("a request that ran although its caller was told not-run") {
@@ -160,13 +160,14 @@
             return refused("not-run", "queue-full");
         });
         auto results = load_runner(short_load(instance.address)).run();
-        CHECK(of(results, rank::urgent).not_run.at("queue-full") == of(results, rank::urgent).sent);
+        CHECK(results_of(results, rank::urgent).not_run.at("queue-full") ==
+              results_of(results, rank::urgent).sent);
         CHECK_FALSE(results.violated());
         judgement found;
         found.runs_by_idempotency_key[*seen.begin()] = 1;
         results.add_judgement(found);
         CHECK(results.violated());
-        CHECK(nlohmann::json::parse(load_json({}, results)).at("violated") == true);
+        CHECK(nlohmann::json::parse(format_json_report({}, results)).at("violated") == true);
     }
     SUBCASE("double owners and double runs in the records") {
         load_results results;
@@ -197,12 +198,12 @@
     SUBCASE("with resends") {
         settings.resend_fraction = 1;
         const auto results = load_runner(settings).run();
-        CHECK(of(results, rank::standard).answered == of(results, rank::standard).sent);
-        CHECK(of(results, rank::standard).resent >= of(results, rank::standard).sent);
-        CHECK(of(results, rank::urgent).unknown == of(results, rank::urgent).sent);
+        CHECK(results_of(results, rank::standard).answered == results_of(results, rank::standard).sent);
+        CHECK(results_of(results, rank::standard).resent >= results_of(results, rank::standard).sent);
+        CHECK(results_of(results, rank::urgent).unknown == results_of(results, rank::urgent).sent);
     }
     SUBCASE("without resends the outcome stays unknown") {
         const auto results = load_runner(settings).run();
-        CHECK(of(results, rank::standard).unknown == of(results, rank::standard).sent);
+        CHECK(results_of(results, rank::standard).unknown == results_of(results, rank::standard).sent);
     }
 }
