--- a/src/app/load.cpp
+++ b/src/app/load.cpp
@@ -45,11 +45,11 @@
     if (!settings->addresses.empty()) {
         results = load_runner(*settings).run();
     }
-    if (!settings->judge.empty()) {
-        results.add_judgement(judge_folder(settings->judge, settings->judge_shards));
+    if (!settings->record_folder.empty()) {
+        results.add_judgement(judge_folder(settings->record_folder, settings->judge_shards));
     }
-    if (!settings->html.empty()) {
-        write_file(settings->html, format_html_report(*settings, results));
+    if (!settings->html_file.empty()) {
+        write_file(settings->html_file, format_html_report(*settings, results));
     }
     std::fputs(format_report(*settings, results).c_str(), stdout);
     return results.violated() ? exit_failure : exit_success;
--- a/src/app/load_options.cpp
+++ b/src/app/load_options.cpp
@@ -186,11 +186,11 @@
     result.timeout = parser.milliseconds("timeout", 1, max_seconds * 1000);
     result.late_after = read_late_after(parser);
     result.connections = parser.integer("connections", 1, 4096);
-    result.judge = parser.text("judge");
+    result.record_folder = parser.text("judge");
     result.judge_shards = static_cast<std::uint32_t>(parser.integer("judge-shards", 1, 1U << 20U));
-    result.html = parser.text("report");
+    result.html_file = parser.text("report");
     result.output = read_output(parser);
-    if (result.addresses.empty() && result.judge.empty()) {
+    if (result.addresses.empty() && result.record_folder.empty()) {
         parser.reject("address", "is needed unless --judge is given");
     }
     return result;
--- a/src/app/load_options.h
+++ b/src/app/load_options.h
@@ -50,9 +50,9 @@
     std::size_t connections = 512; ///< to each address
     std::size_t body_bytes = 64;
     std::uint64_t seed = 1;
-    std::filesystem::path judge;
+    std::filesystem::path record_folder;
     std::uint32_t judge_shards = 4096;
-    std::filesystem::path html;
+    std::filesystem::path html_file;
     load_output output = load_output::table;
 };
 
