--- a/src/app/load_results.cpp
+++ b/src/app/load_results.cpp
@@ -9,7 +9,7 @@
                            [](std::uint64_t sum, const auto& it) { return sum + it.second; });
 }
 
-load_second& rank_results::second_of(duration at) {
+second_results& rank_results::second_at(duration at) {
     const auto n = static_cast<std::size_t>(std::chrono::duration_cast<std::chrono::seconds>(at).count());
     if (n >= seconds.size()) {
         seconds.resize(n + 1);
--- a/src/app/load_results.h
+++ b/src/app/load_results.h
@@ -23,7 +23,7 @@
 };
 
 /// Service of one second of the load.
-struct load_second {
+struct second_results {
     std::uint64_t sent = 0;
     std::vector<std::uint32_t> latencies; ///< of the correct answers, in microseconds
 };
@@ -41,13 +41,13 @@
     std::uint64_t false_not_run = 0;
     std::map<std::string, std::uint64_t> not_run;
     std::unique_ptr<metrics::histogram> latency = std::make_unique<metrics::histogram>();
-    std::vector<load_second> seconds;
+    std::vector<second_results> seconds;
     /// Requests that were only ever told not-run, by idempotency key, for comparing with the records.
     std::vector<std::string> not_run_keys;
     std::vector<std::string> at_most_once_keys;
 
     std::uint64_t not_run_total() const;
-    load_second& second_of(duration at);
+    second_results& second_at(duration at);
 };
 
 struct load_results {
--- a/src/app/load_runner.cpp
+++ b/src/app/load_runner.cpp
@@ -206,7 +206,7 @@
 void load_runner::count_end(rank_results& results, const request& it) {
     ++results.sent;
     results.resent += static_cast<std::uint64_t>(it.attempts - 1);
-    auto& second = results.second_of(it.plan.at);
+    auto& second = results.second_at(it.plan.at);
     ++second.sent;
     if (it.wrong) {
         return;
