--- a/src/app/load_options.cpp
+++ b/src/app/load_options.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr double max_rate = 1e6;
+constexpr double max_requests_per_second = 1e6;
 constexpr double max_seconds = 86400;
 
 std::size_t index_of(rank value) {
@@ -23,44 +23,48 @@
     return duration(std::llround(value * 1e6));
 }
 
-void add_load_options(option_parser& parser) {
+void add_workload_options(option_parser& parser) {
     parser.add()("address", po::value<std::vector<std::string>>(),
-                 "IP:PORT of an instance's caller listener, also a list with commas");
+                 "IP:PORT of an instance's caller listener, or a comma-separated list; may be repeated");
     parser.add()("firm", po::value<std::string>()->default_value("navalsig"),
-                 "navalsig or cairnmark: paths and ranks");
-    parser.add()("rate", po::value<double>()->default_value(100), "requests per second of all ranks");
+                 "navalsig or cairnmark; sets the method and path of each rank");
+    parser.add()("rate", po::value<double>()->default_value(100),
+                 "requests per second of all ranks together");
     parser.add()("mix", po::value<std::string>()->default_value("70:20:10"),
-                 "parts of urgent, standard and deferrable requests");
+                 "ratio of urgent, standard and deferrable requests");
     parser.add()("rank-rate", po::value<std::vector<std::string>>(),
-                 "RANK:RATE, replaces the rank's part of --rate");
+                 "RANK:RATE, overrides the rank's share of --rate");
     parser.add()("duration", po::value<double>()->default_value(10), "seconds, warm-up included");
-    parser.add()("warmup", po::value<double>()->default_value(0), "seconds at first that are not counted");
+    parser.add()("warmup", po::value<double>()->default_value(0),
+                 "initial seconds whose requests are not counted");
     parser.add()("keys", po::value<std::uint64_t>()->default_value(10000), "number of keys");
     parser.add()("key-skew", po::value<double>()->default_value(0),
                  "exponent of the Zipf distribution; 0: uniform");
     parser.add()("hot-key-shift", po::value<double>()->default_value(0),
-                 "seconds after which other keys become the hot ones; 0: never");
-    parser.add()("flood", po::value<std::vector<std::string>>(),
-                 "RANK:RATE:FROM:TO, additional requests per second between two times in seconds");
+                 "interval in seconds at which the set of hot keys changes; 0: never");
+    parser.add()(
+        "flood", po::value<std::vector<std::string>>(),
+        "RANK:RATE:FROM:TO, additional requests per second between FROM and TO, in seconds since the start");
     parser.add()("seed", po::value<std::uint64_t>()->default_value(1), "seed of arrivals and keys");
-    parser.add()("body-bytes", po::value<std::uint64_t>()->default_value(64), "size of the body of a POST");
+    parser.add()("body-bytes", po::value<std::uint64_t>()->default_value(64), "body size of a POST in bytes");
 }
 
-void add_caller_options(option_parser& parser) {
-    parser.add()("resend", po::value<double>()->default_value(0),
-                 "fraction of at-most-once requests that are sent again with the same Idempotency-Key: after "
-                 "a lost or "
-                 "unknown answer, and without any cause");
-    parser.add()("timeout", po::value<double>()->default_value(5000), "longest wait for an answer, ms");
+void add_sending_and_report_options(option_parser& parser) {
+    parser.add()(
+        "resend", po::value<double>()->default_value(0),
+        "fraction of at-most-once requests that are sent again with the same Idempotency-Key, both as "
+        "unprompted duplicates and after each lost or unknown answer");
+    parser.add()("timeout", po::value<double>()->default_value(5000), "time limit of each attempt, ms");
     parser.add()("late-after",
                  po::value<std::string>()->default_value("urgent:200,standard:1000,deferrable:5000"),
                  "RANK:MS list; a slower answer counts as late");
     parser.add()("connections", po::value<std::uint64_t>()->default_value(512),
-                 "connections to each address");
+                 "maximum connections to each address");
     parser.add()("judge", po::value<std::string>()->default_value(""),
-                 "folder with the record files of all stand-ins; without --address only these are judged");
+                 "folder with the run records of all stand-ins; without --address they are judged and no "
+                 "load is sent");
     parser.add()("judge-shards", po::value<std::uint64_t>()->default_value(4096),
-                 "number of shards of a service");
+                 "number of shards of each service in the records");
     parser.add()("report", po::value<std::string>()->default_value(""), "write an HTML report to this file");
     parser.add()("json", po::bool_switch(), "print JSON");
     parser.add()("csv", po::bool_switch(), "print CSV");
@@ -80,7 +84,7 @@
 }
 
 std::array<double, rank_count> read_rates(const option_parser& parser) {
-    const double total = parser.number("rate", 0, max_rate);
+    const double total = parser.number("rate", 0, max_requests_per_second);
     const auto parts = split(parser.text("mix"), ':');
     if (parts.size() != rank_count) {
         parser.reject("mix", "must have three parts");
@@ -101,7 +105,7 @@
         it *= total / sum;
     }
     for (const auto& text : parser.texts("rank-rate")) {
-        const auto [priority, rate] = parse_rank_value("rank-rate", text, max_rate);
+        const auto [priority, rate] = parse_rank_value("rank-rate", text, max_requests_per_second);
         result.at(index_of(priority)) = rate;
     }
     return result;
@@ -117,7 +121,7 @@
     return result;
 }
 
-void read_load(const option_parser& parser, load_options& result) {
+void read_workload_options(const option_parser& parser, load_options& result) {
     result.addresses = parser.endpoints("address");
     result.firm = parser.text("firm");
     requests_of_firm(result.firm);
@@ -136,7 +140,7 @@
 
 load_output read_output(const option_parser& parser) {
     if (parser.flag("json") && parser.flag("csv")) {
-        parser.reject("csv", "excludes --json");
+        parser.reject("csv", "cannot be combined with --json");
     }
     if (parser.flag("json")) {
         return load_output::json;
@@ -167,21 +171,21 @@
     const double rate = parse_number("flood", parts[1]);
     const double from = parse_number("flood", parts[2]);
     const double to = parse_number("flood", parts[3]);
-    if (rate < 0 || rate > max_rate || from < 0 || to < from || to > max_seconds) {
+    if (rate < 0 || rate > max_requests_per_second || from < 0 || to < from || to > max_seconds) {
         throw invalid_input("load", "--flood", "'" + text + "' has a rate or time out of range");
     }
     return {parse_rank("load", "--flood", parts[0]), rate, from_seconds(from), from_seconds(to)};
 }
 
 std::optional<load_options> parse_load_options(const arguments& args) {
-    option_parser parser("load", "Sends load in an open loop and reports service per rank.");
-    add_load_options(parser);
-    add_caller_options(parser);
+    option_parser parser("load", "Sends requests in an open loop and reports outcomes and latency per rank.");
+    add_workload_options(parser);
+    add_sending_and_report_options(parser);
     if (!parser.parse(args)) {
         return std::nullopt;
     }
     load_options result;
-    read_load(parser, result);
+    read_workload_options(parser, result);
     result.resend_fraction = parser.number("resend", 0, 1);
     result.timeout = parser.milliseconds("timeout", 1, max_seconds * 1000);
     result.late_after = read_late_after(parser);
