--- a/src/app/load_workload.cpp
+++ b/src/app/load_workload.cpp
@@ -10,13 +10,14 @@
 
 namespace {
 
-constexpr std::uint64_t shift_step = 7919; // prime, so that successive sets of hot keys do not overlap
+// Prime, so that successive sets of hot keys do not overlap.
+constexpr std::uint64_t hot_key_shift_step = 7919;
 
-double seconds(duration value) {
+double to_seconds(duration value) {
     return std::chrono::duration<double>(value).count();
 }
 
-std::vector<double> zipf_cumulative(std::uint64_t keys, double skew) {
+std::vector<double> zipf_cumulative_weights(std::uint64_t keys, double skew) {
     std::vector<double> result;
     if (skew == 0) {
         return result;
@@ -33,77 +34,81 @@
 } // namespace
 
 workload::workload(const load_options& settings)
-    : settings_(settings), length_(seconds(settings.length)), key_random_(settings.seed),
-      cumulative_(zipf_cumulative(settings.keys, settings.key_skew)) {
+    : settings_(settings), length_s_(to_seconds(settings.length)), key_random_(settings.seed),
+      cumulative_weights_(zipf_cumulative_weights(settings.keys, settings.key_skew)) {
     for (std::size_t n = 0; n < rank_count; ++n) {
-        sources_.at(n).random.seed(settings.seed + 1 + n);
-        advance(n);
+        arrivals_.at(n).random.seed(settings.seed + 1 + n);
+        schedule_next_arrival(n);
     }
 }
 
-workload::rate_period workload::rate_at(std::size_t rank_index, double at) const {
+workload::rate_period workload::rate_at(std::size_t rank_index, double at_s) const {
     rate_period result{settings_.rates.at(rank_index), std::numeric_limits<double>::infinity()};
     for (const auto& it : settings_.floods) {
         if (static_cast<std::size_t>(it.priority) != rank_index) {
             continue;
         }
-        const double from = seconds(it.from);
-        const double to = seconds(it.to);
-        if (at >= from && at < to) {
+        const double from_s = to_seconds(it.from);
+        const double to_s = to_seconds(it.to);
+        if (at_s >= from_s && at_s < to_s) {
             result.rate += it.rate;
-            result.until = std::min(result.until, to);
-        } else if (at < from) {
-            result.until = std::min(result.until, from);
+            result.until_s = std::min(result.until_s, to_s);
+        } else if (at_s < from_s) {
+            result.until_s = std::min(result.until_s, from_s);
         }
     }
     return result;
 }
 
-/// Where the rate changes the interval is drawn anew from there, which is exact since it has no memory.
-void workload::advance(std::size_t rank_index) {
-    auto& source = sources_.at(rank_index);
-    while (source.at < length_) {
-        const auto period = rate_at(rank_index, source.at);
-        double next = std::numeric_limits<double>::infinity();
+/// Draws the interval to the next arrival anew at each change of rate; this is exact because the exponential
+/// distribution is memoryless.
+void workload::schedule_next_arrival(std::size_t rank_index) {
+    auto& arrivals = arrivals_.at(rank_index);
+    while (arrivals.next_s < length_s_) {
+        const auto period = rate_at(rank_index, arrivals.next_s);
+        double candidate_s = std::numeric_limits<double>::infinity();
         if (period.rate > 0) {
-            next = source.at + std::exponential_distribution<double>(period.rate)(source.random);
+            candidate_s =
+                arrivals.next_s + std::exponential_distribution<double>(period.rate)(arrivals.random);
         }
-        if (next < period.until) {
-            source.at = next;
+        if (candidate_s < period.until_s) {
+            arrivals.next_s = candidate_s;
             return;
         }
-        source.at = period.until;
+        arrivals.next_s = period.until_s;
     }
 }
 
 std::optional<planned_request> workload::next() {
     std::size_t first = 0;
     for (std::size_t n = 1; n < rank_count; ++n) {
-        if (sources_.at(n).at < sources_.at(first).at) {
+        if (arrivals_.at(n).next_s < arrivals_.at(first).next_s) {
             first = n;
         }
     }
-    const double at = sources_.at(first).at;
-    if (at >= length_) {
+    const double at_s = arrivals_.at(first).next_s;
+    if (at_s >= length_s_) {
         return std::nullopt;
     }
-    planned_request result{duration(std::llround(at * 1e6)), all_ranks.at(first), draw_key(at)};
-    advance(first);
+    planned_request result{duration(std::llround(at_s * 1e6)), all_ranks.at(first), draw_key(at_s)};
+    schedule_next_arrival(first);
     return result;
 }
 
-std::string workload::draw_key(double at) {
+std::string workload::draw_key(double at_s) {
     std::uint64_t position = 0;
-    if (cumulative_.empty()) {
+    if (cumulative_weights_.empty()) {
         position = std::uniform_int_distribution<std::uint64_t>(0, settings_.keys - 1)(key_random_);
     } else {
-        const double value = std::uniform_real_distribution<double>(0, cumulative_.back())(key_random_);
-        const auto it = std::lower_bound(cumulative_.begin(), cumulative_.end(), value);
-        position = static_cast<std::uint64_t>(std::min(it, cumulative_.end() - 1) - cumulative_.begin());
+        const double weight =
+            std::uniform_real_distribution<double>(0, cumulative_weights_.back())(key_random_);
+        const auto it = std::lower_bound(cumulative_weights_.begin(), cumulative_weights_.end(), weight);
+        position = static_cast<std::uint64_t>(std::min(it, cumulative_weights_.end() - 1) -
+                                              cumulative_weights_.begin());
     }
-    const double shift = seconds(settings_.hot_key_shift);
-    const auto shifts = shift > 0 ? static_cast<std::uint64_t>(at / shift) : 0;
-    return "key-" + std::to_string((position + shifts * shift_step) % settings_.keys);
+    const double shift_s = to_seconds(settings_.hot_key_shift);
+    const auto shifts = shift_s > 0 ? static_cast<std::uint64_t>(at_s / shift_s) : 0;
+    return "key-" + std::to_string((position + shifts * hot_key_shift_step) % settings_.keys);
 }
 
 idempotency_key_source::idempotency_key_source() {
