--- a/src/app/load_runner.cpp
+++ b/src/app/load_runner.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr int max_attempts = 4;
-constexpr std::chrono::milliseconds resend_delay{100};
-constexpr std::chrono::milliseconds max_spontaneous_delay{200};
+constexpr std::chrono::milliseconds resend_delay{100};        // after a lost or unknown attempt
+constexpr std::chrono::milliseconds max_duplicate_delay{200}; // of an unprompted duplicate
 
 std::string header_of(const http_response& answer, std::string_view lower_case_name) {
     for (const auto& [name, value] : answer.headers) {
@@ -41,7 +41,7 @@
 load_results load_runner::run() {
     started_ = steady_now();
     next_ = workload_.next();
-    send_due();
+    send_due_requests();
     if (::isatty(STDERR_FILENO) != 0) {
         show_progress();
     }
@@ -50,9 +50,9 @@
     return std::move(results_);
 }
 
-void load_runner::send_due() {
+void load_runner::send_due_requests() {
     while (next_ && next_->at <= elapsed()) {
-        begin(*next_);
+        start_request(*next_);
         next_ = workload_.next();
     }
     if (!next_) {
@@ -61,59 +61,60 @@
     timer_.expires_after(started_ + next_->at - steady_now());
     timer_.async_wait([this](const asio::error_code& ec) {
         if (!ec) {
-            send_due();
+            send_due_requests();
         }
     });
 }
 
-void load_runner::begin(const planned_request& plan) {
-    auto it = std::make_shared<request>();
-    it->plan = plan;
-    it->idempotency_key = keys_.next();
+void load_runner::start_request(const planned_request& plan) {
+    auto request = std::make_shared<pending_request>();
+    request->plan = plan;
+    request->idempotency_key = keys_.next();
     ++in_progress_;
-    it->outstanding = 1;
-    send_attempt(it);
+    request->outstanding = 1;
+    send_attempt(request);
     const auto& call_template = request_templates_.at(static_cast<std::size_t>(plan.priority));
-    if (!is_idempotent(call_template) && draw(settings_.resend_fraction)) {
-        ++it->outstanding;
-        const auto longest = std::chrono::duration_cast<duration>(max_spontaneous_delay).count();
-        send_later(it, duration(std::uniform_int_distribution<std::int64_t>(0, longest)(random_)));
+    if (!is_idempotent(call_template) && random_bool(settings_.resend_fraction)) {
+        ++request->outstanding;
+        const auto max_delay_us = std::chrono::duration_cast<duration>(max_duplicate_delay).count();
+        schedule_attempt(request,
+                         duration(std::uniform_int_distribution<std::int64_t>(0, max_delay_us)(random_)));
     }
 }
 
-void load_runner::send_later(const request_ptr& it, duration delay) {
+void load_runner::schedule_attempt(const request_ptr& request, duration delay) {
     auto timer = std::make_shared<asio::steady_timer>(context_, delay);
-    timer->async_wait([this, timer, it](const asio::error_code& ec) {
+    timer->async_wait([this, timer, request](const asio::error_code& ec) {
         if (!ec) {
-            send_attempt(it);
+            send_attempt(request);
         }
     });
 }
 
-void load_runner::send_attempt(const request_ptr& it) {
-    ++it->attempts;
-    send_to(it, next_address_++, 0);
+void load_runner::send_attempt(const request_ptr& request) {
+    ++request->attempts;
+    send_to(request, next_address_++, 0);
 }
 
-void load_runner::send_to(const request_ptr& it, std::size_t first, std::size_t tries) {
+void load_runner::send_to(const request_ptr& request, std::size_t first, std::size_t tries) {
     const auto address = (first + tries) % settings_.addresses.size();
-    client_.send(make_call(*it, address), [this, it, first, tries](const http_result& result) {
+    client_.send(make_call(*request, address), [this, request, first, tries](const http_result& result) {
         const bool unsent =
             result.failure == http_failure::refused || result.failure == http_failure::not_sent;
         if (unsent && tries + 1 < settings_.addresses.size()) {
-            send_to(it, first, tries + 1);
+            send_to(request, first, tries + 1);
         } else {
-            on_result(it, result);
+            on_attempt_result(request, result);
         }
     });
 }
 
-http_call load_runner::make_call(const request& it, std::size_t address) const {
-    const auto& call_template = request_templates_.at(static_cast<std::size_t>(it.plan.priority));
+http_call load_runner::make_call(const pending_request& request, std::size_t address) const {
+    const auto& call_template = request_templates_.at(static_cast<std::size_t>(request.plan.priority));
     http_call call;
     call.method = call_template.method;
-    call.url = "http://" + to_string(settings_.addresses[address]) + call_template.path(it.plan.key);
-    call.headers = {{"Idempotency-Key", it.idempotency_key}};
+    call.url = "http://" + to_string(settings_.addresses[address]) + call_template.path(request.plan.key);
+    call.headers = {{"Idempotency-Key", request.idempotency_key}};
     if (!is_idempotent(call_template)) {
         call.headers.emplace_back("Content-Type", "application/octet-stream");
         call.body = body_;
@@ -122,113 +123,119 @@
     return call;
 }
 
-void load_runner::on_result(const request_ptr& it, const http_result& result) {
+void load_runner::on_attempt_result(const request_ptr& request, const http_result& result) {
     bool unclear = false;
     if (result.failure == http_failure::none) {
-        judge_answer(*it, result.answer);
+        classify_answer(*request, result.answer);
         unclear = header_of(result.answer, "kingcupseam-outcome") == to_string(outcome::unknown);
     } else if (result.failure == http_failure::refused || result.failure == http_failure::not_sent) {
-        it->failed = true;
+        request->failed = true;
     } else {
-        it->lost = true;
+        request->lost = true;
         unclear = true;
     }
-    --it->outstanding;
-    resend_when_unclear(it, unclear);
-    if (it->outstanding == 0) {
-        finish(*it);
+    --request->outstanding;
+    resend_if_unclear(request, unclear);
+    if (request->outstanding == 0) {
+        finish(*request);
     }
 }
 
-void load_runner::resend_when_unclear(const request_ptr& it, bool unclear) {
-    const auto& call_template = request_templates_.at(static_cast<std::size_t>(it->plan.priority));
-    if (unclear && !is_idempotent(call_template) && it->attempts < max_attempts &&
-        draw(settings_.resend_fraction)) {
-        ++it->outstanding;
-        send_later(it, resend_delay);
+void load_runner::resend_if_unclear(const request_ptr& request, bool unclear) {
+    const auto& call_template = request_templates_.at(static_cast<std::size_t>(request->plan.priority));
+    if (unclear && !is_idempotent(call_template) && request->attempts < max_attempts &&
+        random_bool(settings_.resend_fraction)) {
+        ++request->outstanding;
+        schedule_attempt(request, resend_delay);
     }
 }
 
-void load_runner::judge_answer(request& it, const http_response& answer) {
-    const auto told = header_of(answer, "kingcupseam-outcome");
-    if (told == to_string(outcome::ran)) {
-        judge_body(it, answer);
-    } else if (told == to_string(outcome::not_run)) {
-        it.not_run = header_of(answer, "kingcupseam-reason");
-        it.not_run = it.not_run.empty() ? "no-reason" : it.not_run;
-    } else if (told == to_string(outcome::unknown)) {
-        it.unknown = true;
+void load_runner::classify_answer(pending_request& request, const http_response& answer) {
+    const auto reported_outcome = header_of(answer, "kingcupseam-outcome");
+    if (reported_outcome == to_string(outcome::ran)) {
+        check_body(request, answer);
+    } else if (reported_outcome == to_string(outcome::not_run)) {
+        request.not_run_reason = header_of(answer, "kingcupseam-reason");
+        request.not_run_reason = request.not_run_reason.empty() ? "no-reason" : request.not_run_reason;
+    } else if (reported_outcome == to_string(outcome::unknown)) {
+        request.unknown = true;
     } else {
-        it.failed = true;
+        request.failed = true;
     }
 }
 
-void load_runner::judge_body(request& it, const http_response& answer) {
-    const auto& call_template = request_templates_.at(static_cast<std::size_t>(it.plan.priority));
+void load_runner::check_body(pending_request& request, const http_response& answer) {
+    const auto& call_template = request_templates_.at(static_cast<std::size_t>(request.plan.priority));
     const auto body = decode_answer(answer.body);
-    const bool own = body && body->key == it.plan.key && body->idempotency_key == it.idempotency_key &&
-                     body->method == call_template.method && body->path == call_template.path(it.plan.key);
-    if (!own) {
-        it.wrong = true;
+    const bool matches_request =
+        body && body->key == request.plan.key && body->idempotency_key == request.idempotency_key &&
+        body->method == call_template.method && body->path == call_template.path(request.plan.key);
+    if (!matches_request) {
+        request.wrong = true;
         return;
     }
-    if (!it.correct) {
-        it.correct = true;
-        it.latency = elapsed() - it.plan.at;
-        it.execution = body->executions;
+    if (!request.correct) {
+        request.correct = true;
+        request.latency = elapsed() - request.plan.at;
+        request.execution = body->executions;
     }
-    it.differing = it.differing || (!is_idempotent(call_template) && body->executions != it.execution);
+    request.double_run =
+        request.double_run || (!is_idempotent(call_template) && body->executions != request.execution);
 }
 
-void load_runner::finish(const request& it) {
+void load_runner::finish(const pending_request& request) {
     --in_progress_;
     if (!next_ && in_progress_ == 0) {
-        // Waits on pooled connections that never become ready would keep the context running.
+        // Pending waits on idle pooled connections would keep the context running.
         context_.stop();
     }
-    auto& results = results_.ranks.at(static_cast<std::size_t>(it.plan.priority));
-    // What must never happen counts during the warm-up too.
-    results.wrong += it.wrong ? 1 : 0;
-    results.double_runs += it.differing ? 1 : 0;
-    const bool told_not_run = !it.not_run.empty() && !it.correct && !it.wrong && !it.unknown && !it.lost;
-    if (told_not_run && !it.failed) {
-        results.not_run_keys.push_back(it.idempotency_key);
+    auto& results = results_.ranks.at(static_cast<std::size_t>(request.plan.priority));
+    // Violations are counted during the warm-up too.
+    results.wrong += request.wrong ? 1 : 0;
+    results.double_runs += request.double_run ? 1 : 0;
+    const bool only_not_run = !request.not_run_reason.empty() && !request.correct && !request.wrong &&
+                              !request.unknown && !request.lost;
+    if (only_not_run && !request.failed) {
+        results.not_run_keys.push_back(request.idempotency_key);
     }
-    if (!is_idempotent(request_templates_.at(static_cast<std::size_t>(it.plan.priority))) && !it.differing) {
-        results.at_most_once_keys.push_back(it.idempotency_key);
+    if (!is_idempotent(request_templates_.at(static_cast<std::size_t>(request.plan.priority))) &&
+        !request.double_run) {
+        results.at_most_once_keys.push_back(request.idempotency_key);
     }
-    if (it.plan.at >= settings_.warmup) {
-        count_end(results, it);
+    if (request.plan.at >= settings_.warmup) {
+        count_result(results, request);
     }
 }
 
-/// An unclear attempt outweighs a later refusal, which says nothing about the attempt before it.
-void load_runner::count_end(rank_results& results, const request& it) {
+/// A lost or unknown attempt takes precedence over a later not-run one, which says nothing about the earlier
+/// attempt.
+void load_runner::count_result(rank_results& results, const pending_request& request) {
     ++results.sent;
-    results.resent += static_cast<std::uint64_t>(it.attempts - 1);
-    auto& second = results.second_at(it.plan.at);
+    results.resent += static_cast<std::uint64_t>(request.attempts - 1);
+    auto& second = results.second_at(request.plan.at);
     ++second.sent;
-    if (it.wrong) {
+    if (request.wrong) {
         return;
     }
-    if (it.correct) {
+    if (request.correct) {
         ++results.answered;
         results.late +=
-            it.latency > settings_.late_after.at(static_cast<std::size_t>(it.plan.priority)) ? 1 : 0;
-        results.latency->record(static_cast<std::uint64_t>(it.latency.count()));
-        second.latencies.push_back(static_cast<std::uint32_t>(it.latency.count()));
-    } else if (it.unknown) {
+            request.latency > settings_.late_after.at(static_cast<std::size_t>(request.plan.priority)) ? 1
+                                                                                                       : 0;
+        results.latency->record(static_cast<std::uint64_t>(request.latency.count()));
+        second.latencies.push_back(static_cast<std::uint32_t>(request.latency.count()));
+    } else if (request.unknown) {
         ++results.unknown;
-    } else if (it.lost) {
+    } else if (request.lost) {
         ++results.lost;
-    } else if (!it.not_run.empty()) {
-        ++results.not_run[it.not_run];
+    } else if (!request.not_run_reason.empty()) {
+        ++results.not_run[request.not_run_reason];
     } else {
         ++results.errors;
     }
 }
 
-bool load_runner::draw(double probability) {
+bool load_runner::random_bool(double probability) {
     return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
 }
 
--- a/src/app/load_runner.h
+++ b/src/app/load_runner.h
@@ -12,45 +12,51 @@
 
 namespace kingcupseam::app {
 
-/// Sends the load in an open loop: a request leaves at its intended time, whatever became of those before it.
+/// Generates the load in an open loop: each request is sent at its scheduled time, whether or not earlier
+/// requests have ended.
 class load_runner {
 public:
     explicit load_runner(const load_options& settings);
+    /// Sends the whole load and returns when all requests have ended. Call it once.
     load_results run();
 
 private:
-    /// One request with all its attempts, which share the Idempotency-Key.
-    struct request {
+    /// One request and the results of its attempts, which share its Idempotency-Key.
+    struct pending_request {
         planned_request plan;
         std::string idempotency_key;
         int attempts = 0;
         int outstanding = 0; ///< attempts in progress or waiting to be sent
-        bool correct = false;
-        bool wrong = false;
-        bool differing = false; ///< two answers of different executions
-        bool unknown = false;
-        bool lost = false;
-        bool failed = false;
-        std::string not_run; ///< reason
-        std::uint64_t execution = 0;
-        duration latency{};
+        // Set when any of the attempts ended this way.
+        bool correct = false;        ///< with an undamaged answer to this request
+        bool wrong = false;          ///< with a damaged answer, or one to another request
+        bool double_run = false;     ///< with an answer of another execution than the first correct one
+        bool unknown = false;        ///< with the outcome unknown
+        bool lost = false;           ///< without a complete answer after it was sent
+        bool failed = false;         ///< no address accepted it, or the answer has no outcome
+        std::string not_run_reason;  ///< of the last attempt with the outcome not-run; empty: none
+        std::uint64_t execution = 0; ///< execution counter in the first correct answer
+        duration latency{};          ///< of the first correct answer, from the scheduled time
     };
-    using request_ptr = std::shared_ptr<request>;
+    using request_ptr = std::shared_ptr<pending_request>;
 
-    void send_due();
-    void begin(const planned_request& plan);
-    void send_attempt(const request_ptr& it);
-    /// Sends to the address that is @p tries after @p first.
-    void send_to(const request_ptr& it, std::size_t first, std::size_t tries);
-    void send_later(const request_ptr& it, duration delay);
-    http_call make_call(const request& it, std::size_t address) const;
-    void on_result(const request_ptr& it, const http_result& result);
-    void judge_answer(request& it, const http_response& answer);
-    void judge_body(request& it, const http_response& answer);
-    void resend_when_unclear(const request_ptr& it, bool unclear);
-    void finish(const request& it);
-    void count_end(rank_results& results, const request& it);
-    bool draw(double probability);
+    void send_due_requests();
+    void start_request(const planned_request& plan);
+    void send_attempt(const request_ptr& request);
+    /// Sends to the address that follows @p first by @p tries positions; tries the next one, up to all of
+    /// them, while the request could not be sent.
+    void send_to(const request_ptr& request, std::size_t first, std::size_t tries);
+    void schedule_attempt(const request_ptr& request, duration delay);
+    http_call make_call(const pending_request& request, std::size_t address) const;
+    void on_attempt_result(const request_ptr& request, const http_result& result);
+    void classify_answer(pending_request& request, const http_response& answer);
+    void check_body(pending_request& request, const http_response& answer);
+    /// @param unclear whether the attempt that has just ended was lost or unknown
+    void resend_if_unclear(const request_ptr& request, bool unclear);
+    void finish(const pending_request& request);
+    /// Counts the request as sent, and under one result unless an answer was wrong.
+    void count_result(rank_results& results, const pending_request& request);
+    bool random_bool(double probability);
     duration elapsed() const { return steady_now() - started_; }
     void show_progress();
 
