--- a/src/app/load_results.h
+++ b/src/app/load_results.h
@@ -48,6 +48,7 @@
     std::vector<std::string> at_most_once_keys;
 
     std::uint64_t not_run_total() const;
+    /// Results of the second that holds @p at; adds the seconds up to it when they are missing.
     second_results& second_at(duration at);
 };
 
