--- a/src/app/load_report.h
+++ b/src/app/load_report.h
@@ -10,7 +10,8 @@
 std::string format_table_report(const load_results& results);
 std::string format_json_report(const load_options& settings, const load_results& results);
 std::string format_csv_report(const load_results& results);
-/// A self-contained page with latency and service per rank over time.
+/// Formats a self-contained HTML page with charts of the latency and the fraction of answered requests, by
+/// rank and second.
 std::string format_html_report(const load_options& settings, const load_results& results);
 
 } // namespace kingcupseam::app
