--- a/src/app/run_record.cpp
+++ b/src/app/run_record.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-std::int64_t microseconds(time_point value) {
+std::int64_t to_microseconds(time_point value) {
     return value.time_since_epoch().count();
 }
 
@@ -41,7 +41,7 @@
     }
     void operator()(const grant_event& it) {
         line["event"] = "grant";
-        line["until"] = microseconds(it.until);
+        line["until"] = to_microseconds(it.until);
         line["epoch"] = it.epoch;
         if (it.scope) {
             line["shards"] = it.scope->shards;
@@ -92,7 +92,7 @@
 } // namespace
 
 std::string encode_record(const record_line& line) {
-    encoder it{{{"at", microseconds(line.at)}}};
+    encoder it{{{"at", to_microseconds(line.at)}}};
     std::visit(it, line.event);
     return it.line.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -127,7 +127,7 @@
     }
     std::string text = encode_record(line);
     text += '\n';
-    // One write per line: with O_APPEND it reaches the page cache whole, which outlives the process.
+    // A single write with O_APPEND puts the whole line into the page cache, which survives the process.
     const auto n = ::write(fd_, text.data(), text.size());
     if (n != static_cast<ssize_t>(text.size())) {
         throw io_error(file_.string(), "write", n < 0 ? errno : ENOSPC);
