--- a/src/app/run_judge.cpp
+++ b/src/app/run_judge.cpp
@@ -30,22 +30,22 @@
     ++result_.files;
     upstream_state upstream;
     for (const auto& line : lines) {
-        if (const auto* opened = std::get_if<process_start_event>(&line.event)) {
-            close_grant(upstream, line.at);
-            upstream = {*opened, {}};
+        if (const auto* process_start = std::get_if<process_start_event>(&line.event)) {
+            end_grant(upstream, line.at);
+            upstream = {*process_start, {}};
         } else if (const auto* run = std::get_if<run_event>(&line.event)) {
-            on_run(upstream, *run, line.at);
+            check_run(upstream, *run, line.at);
         } else {
             const auto& granted = std::get<grant_event>(line.event);
             auto scope = granted.scope.value_or(upstream.grant.scope);
-            close_grant(upstream, line.at);
+            end_grant(upstream, line.at);
             upstream.grant = {line.at, granted.until, std::move(scope)};
         }
     }
-    close_grant(upstream, time_point::max());
+    end_grant(upstream, time_point::max());
 }
 
-void run_judge::on_run(const upstream_state& upstream, const run_event& run, time_point at) {
+void run_judge::check_run(const upstream_state& upstream, const run_event& run, time_point at) {
     if (!run.start) {
         return;
     }
@@ -54,17 +54,17 @@
     const bool idempotent = run.method == "GET" || run.method == "HEAD";
     if (!idempotent && ++at_most_once_starts_[run.idempotency_key] == 2) {
         ++result_.double_runs;
-        note("idempotency key " + run.idempotency_key + " ran again on " + upstream.identity.upstream);
+        add_example("idempotency key " + run.idempotency_key + " ran again on " + upstream.identity.upstream);
     }
     const auto& grant = upstream.grant;
     if (at < grant.until && covers(grant.scope, run.shard, run.key)) {
         return;
     }
     ++(upstream.identity.checks_grants ? result_.runs_without_grant : result_.unchecked_runs_without_grant);
-    note("key " + run.key + " ran without a grant on " + upstream.identity.upstream);
+    add_example("key " + run.key + " ran without a grant on " + upstream.identity.upstream);
 }
 
-void run_judge::close_grant(upstream_state& upstream, time_point at) {
+void run_judge::end_grant(upstream_state& upstream, time_point at) {
     const auto& grant = upstream.grant;
     const interval live{grant.from, std::min(grant.until, at), upstreams_};
     if (live.until <= live.from) {
@@ -102,19 +102,19 @@
             const duration overlap = std::min(it->until, other->until) - other->from;
             ++result_.double_owners;
             result_.longest_double_ownership = std::max(result_.longest_double_ownership, overlap);
-            note(what + " had two owners for " + std::to_string(overlap.count()) + " us");
+            add_example(what + " had two owners for " + std::to_string(overlap.count()) + " us");
         }
     }
 }
 
-/// A hot key belongs to whoever was granted it by name, and otherwise to the owners of its shard that do not
-/// except it.
-void run_judge::count_hot_key(const std::string& key, service_grants& service) {
+/// A hot key is owned by the upstreams that were granted it by name, and by the owners of its shard while
+/// their grant does not list it as moved.
+void run_judge::count_hot_key_overlaps(const std::string& key, service_grants& service) {
     auto intervals = service.hot_keys[key];
-    const auto& exceptions = service.moved_keys[key];
+    const auto& moved = service.moved_keys[key];
     for (const auto& owned : service.shards[shard_of(key, shards_)]) {
         interval rest = owned;
-        for (const auto& it : exceptions) { // in time order for each upstream
+        for (const auto& it : moved) { // sorted by time for each upstream
             if (it.upstream != owned.upstream || it.until <= rest.from || it.from >= rest.until) {
                 continue;
             }
@@ -127,10 +127,10 @@
             intervals.push_back(rest);
         }
     }
-    // Overlaps between two shard owners are counted with the shard already.
-    const auto named = service.hot_keys[key];
-    std::erase_if(intervals, [&named](const interval& it) {
-        return std::none_of(named.begin(), named.end(), [&it](const interval& other) {
+    // Overlaps between two owners of the shard are counted with the shard.
+    const auto granted_by_name = service.hot_keys[key];
+    std::erase_if(intervals, [&granted_by_name](const interval& it) {
+        return std::none_of(granted_by_name.begin(), granted_by_name.end(), [&it](const interval& other) {
             return other.from < it.until && it.from < other.until;
         });
     });
@@ -144,7 +144,7 @@
             keys.push_back(it.first);
         }
         for (const auto& key : keys) {
-            count_hot_key(key, service);
+            count_hot_key_overlaps(key, service);
         }
         for (auto& [shard, intervals] : service.shards) {
             count_overlaps("shard " + std::to_string(shard) + " of " + name, intervals);
@@ -153,7 +153,7 @@
     return std::move(result_);
 }
 
-void run_judge::note(const std::string& text) {
+void run_judge::add_example(const std::string& text) {
     if (result_.examples.size() < max_examples) {
         result_.examples.push_back(text);
     }
@@ -169,7 +169,7 @@
     std::vector<record_line> lines;
     for (std::string text; std::getline(in, text);) {
         if (in.eof()) {
-            break; // without its line break: the process was killed while it wrote
+            break; // no line break: the process was killed while it wrote the line
         }
         lines.push_back(decode_record(file.string(), text));
     }
--- a/src/app/run_judge.h
+++ b/src/app/run_judge.h
@@ -11,27 +11,30 @@
 
 namespace kingcupseam::app {
 
-/// What the records of all upstreams show together.
+/// Findings from the run records of all upstreams.
 struct judgement {
     std::uint64_t files = 0;
-    std::uint64_t runs = 0;
+    std::uint64_t runs = 0;               ///< started executions
     std::uint64_t double_runs = 0;        ///< at-most-once idempotency keys that were started more than once
     std::uint64_t runs_without_grant = 0; ///< by upstreams that check grants
     std::uint64_t unchecked_runs_without_grant = 0; ///< by upstreams that do not check grants
-    std::uint64_t double_owners = 0;                ///< pairs of overlapping grants of one shard or hot key
+    std::uint64_t double_owners = 0; ///< overlaps of two upstreams' grants of one shard or hot key
     duration longest_double_ownership{};
-    std::vector<std::string> examples; ///< the first few findings, as text
+    std::vector<std::string> examples; ///< the first findings, as text
     std::unordered_map<std::string, std::uint32_t> runs_by_idempotency_key;
 };
 
-/// Collects the records of many upstreams and compares them.
+/// Checks the run records of all upstreams together: no at-most-once request runs twice, every run has a
+/// grant, and no two upstreams hold a grant of one key at the same time.
 class run_judge {
 public:
     /// @param shards number of shards of every service, to find the shard of a hot key
     explicit run_judge(std::uint32_t shards);
 
-    /// Adds the lines of one upstream in their order.
+    /// Adds the record of one upstream, in the order of its lines.
     void add_upstream(const std::vector<record_line>& lines);
+    /// Compares the grants of all upstreams and returns the findings. Call it once, after every
+    /// add_upstream().
     judgement finish();
 
 private:
@@ -55,12 +58,13 @@
         live_grant grant;
     };
 
-    void on_run(const upstream_state& upstream, const run_event& run, time_point at);
-    /// Ends the grant in force at @p at and files it under its shards and keys.
-    void close_grant(upstream_state& upstream, time_point at);
+    void check_run(const upstream_state& upstream, const run_event& run, time_point at);
+    /// Ends the grant in force at @p at and adds its interval to each of its shards and keys.
+    void end_grant(upstream_state& upstream, time_point at);
     void count_overlaps(const std::string& what, std::vector<interval>& intervals);
-    void count_hot_key(const std::string& key, service_grants& service);
-    void note(const std::string& text);
+    /// Counts the overlaps of the grants of @p key that involve a grant of the key by name.
+    void count_hot_key_overlaps(const std::string& key, service_grants& service);
+    void add_example(const std::string& text);
 
     std::uint32_t shards_;
     std::size_t upstreams_ = 0;
@@ -69,7 +73,8 @@
     judgement result_;
 };
 
-/// Reads every file of @p folder as the record of one upstream. A torn last line is ignored.
+/// Judges a folder in which every file is the record of one upstream. A last line without line break (a torn
+/// write) is ignored.
 /// @throws io_error, invalid_input
 judgement judge_folder(const std::filesystem::path& folder, std::uint32_t shards);
 
