--- a/tests/app/load_test.cpp
+++ b/tests/app/load_test.cpp
@@ -17,29 +17,29 @@
 
 namespace {
 
-stand_in_answer own_answer(const http_request& request) {
+stand_in_answer correct_answer(const http_request& request) {
     const auto path = request.path();
     const auto first = path.find("key-");
     const auto key = path.substr(first, path.rfind('/') - first);
     return {key, request.header("Idempotency-Key"), request.method, path, "u1", 1};
 }
 
-http_response ran(const stand_in_answer& answer) {
+http_response ran_response(const stand_in_answer& answer) {
     return {200, {{"Kingcupseam-Outcome", "ran"}}, encode_answer(answer, 256)};
 }
 
-http_response refused(const std::string& told, const std::string& reason) {
-    return {503, {{"Kingcupseam-Outcome", told}, {"Kingcupseam-Reason", reason}}, "{}"};
+http_response error_response(const std::string& outcome_name, const std::string& reason) {
+    return {503, {{"Kingcupseam-Outcome", outcome_name}, {"Kingcupseam-Reason", reason}}, "{}"};
 }
 
-/// An instance that answers as a test says, on a thread of its own.
+/// HTTP server in place of an instance; it answers with the handler of the test, on its own thread.
 class fake_instance {
 public:
-    explicit fake_instance(std::function<http_response(const http_request&)> behaviour)
+    explicit fake_instance(std::function<http_response(const http_request&)> handler)
         : address{"127.0.0.1", test::free_port()},
           server_(context_, {.listen = address, .max_body_bytes = 65536},
-                  [behaviour = std::move(behaviour)](const http_request& request, const http_reply& reply) {
-                      reply(behaviour(request));
+                  [handler = std::move(handler)](const http_request& request, const http_reply& reply) {
+                      reply(handler(request));
                   }),
           guard_(asio::make_work_guard(context_)), thread_([this] { context_.run(); }) {}
     ~fake_instance() {
@@ -75,10 +75,12 @@
 
 } // namespace
 
-TEST_CASE("correct answers are counted per rank, with latency from the intended time") {
-    fake_instance instance([](const http_request& request) { return ran(own_answer(request)); });
+// Guards against requests that are dropped from the report, counted under the wrong result, or not sent on to
+// the next address.
+TEST_CASE("the load runner counts the result and latency of each request per rank") {
+    fake_instance instance([](const http_request& request) { return ran_response(correct_answer(request)); });
     auto settings = short_load(instance.address);
-    SUBCASE("all are answered") {
+    SUBCASE("every request is answered correctly") {
         const auto results = load_runner(settings).run();
         for (const rank priority : all_ranks) {
             CHECK(results_of(results, priority).sent > 20);
@@ -91,23 +93,23 @@
         settings.warmup = 500ms;
         CHECK(results_of(load_runner(settings).run(), rank::urgent).sent == 0);
     }
-    SUBCASE("an address that refuses connections is passed over") {
+    SUBCASE("a request goes to the next address when one refuses connections") {
         settings.addresses = {{"127.0.0.1", test::free_port()}, instance.address};
         const auto results = load_runner(settings).run();
         CHECK(results_of(results, rank::urgent).answered == results_of(results, rank::urgent).sent);
     }
-    SUBCASE("without any address that accepts, requests are errors") {
+    SUBCASE("requests are errors when every address refuses connections") {
         settings.addresses = {{"127.0.0.1", test::free_port()}};
         const auto results = load_runner(settings).run();
         CHECK(results_of(results, rank::urgent).errors == results_of(results, rank::urgent).sent);
     }
-    SUBCASE("slower answers than allowed are late") {
+    SUBCASE("answers slower than late_after are late") {
         settings.late_after = {duration(1), 1s, 1s};
         const auto results = load_runner(settings).run();
         CHECK(results_of(results, rank::urgent).late == results_of(results, rank::urgent).sent);
         CHECK(results_of(results, rank::standard).late == 0);
     }
-    SUBCASE("each form of the report is complete") {
+    SUBCASE("every report format contains the results") {
         const auto results = load_runner(settings).run();
         const auto json = nlohmann::json::parse(format_json_report(settings, results));
         CHECK(json.at("ranks").at("urgent").at("answered") == results_of(results, rank::urgent).answered);
@@ -117,12 +119,13 @@
     }
 }
 
-TEST_CASE("what must never happen is found") {
+// Guards against a load tool that passes a run in which a guarantee was violated.
+TEST_CASE("the load report shows violated guarantees") {
     SUBCASE("an answer to another request") {
         fake_instance instance([](const http_request& request) {
-            auto answer = own_answer(request);
+            auto answer = correct_answer(request);
             answer.idempotency_key = "another";
-            return ran(answer);
+            return ran_response(answer);
         });
         const auto results = load_runner(short_load(instance.address)).run();
         CHECK(results_of(results, rank::urgent).wrong == results_of(results, rank::urgent).sent);
@@ -131,7 +134,7 @@
     }
     SUBCASE("a damaged body") {
         fake_instance instance([](const http_request& request) {
-            auto response = ran(own_answer(request));
+            auto response = ran_response(correct_answer(request));
             response.body.pop_back();
             return response;
         });
@@ -140,9 +143,9 @@
     SUBCASE("two executions of one at-most-once request, seen in its answers") {
         std::atomic<std::uint64_t> executions = 0;
         fake_instance instance([&](const http_request& request) {
-            auto answer = own_answer(request);
+            auto answer = correct_answer(request);
             answer.executions = ++executions;
-            return ran(answer);
+            return ran_response(answer);
         });
         auto settings = short_load(instance.address);
         settings.resend_fraction = 1;
@@ -157,7 +160,7 @@
         fake_instance instance([&](const http_request& request) {
             const std::lock_guard lock(mutex);
             seen.insert(request.header("Idempotency-Key"));
-            return refused("not-run", "queue-full");
+            return error_response("not-run", "queue-full");
         });
         auto results = load_runner(short_load(instance.address)).run();
         CHECK(results_of(results, rank::urgent).not_run.at("queue-full") ==
@@ -186,16 +189,17 @@
     }
 }
 
-TEST_CASE("at-most-once requests are sent again with the same key after an unclear answer") {
+// Guards against resends that are missing, carry another Idempotency-Key, or repeat an idempotent request.
+TEST_CASE("at-most-once requests are resent with the same Idempotency-Key after an unknown outcome") {
     std::mutex mutex;
     std::map<std::string, int> attempts;
     fake_instance instance([&](const http_request& request) {
         const std::lock_guard lock(mutex);
         const int n = ++attempts[request.header("Idempotency-Key")];
-        return n == 1 ? refused("unknown", "gate-lost") : ran(own_answer(request));
+        return n == 1 ? error_response("unknown", "gate-lost") : ran_response(correct_answer(request));
     });
     auto settings = short_load(instance.address);
-    SUBCASE("with resends") {
+    SUBCASE("with resends the second attempt is answered") {
         settings.resend_fraction = 1;
         const auto results = load_runner(settings).run();
         CHECK(results_of(results, rank::standard).answered == results_of(results, rank::standard).sent);
