--- a/tests/app/run_judge_test.cpp
+++ b/tests/app/run_judge_test.cpp
@@ -19,7 +19,7 @@
     return time_point(std::chrono::milliseconds(ms));
 }
 
-/// Record of one upstream, written line by line.
+/// Builds the run record of one upstream.
 struct record {
     std::vector<record_line> lines;
 
@@ -59,19 +59,20 @@
 
 } // namespace
 
-TEST_CASE("an at-most-once key that starts twice is a double run") {
+// Guards against a judge that misses a request that ran twice, or reports one that may run twice.
+TEST_CASE("two starts of one at-most-once idempotency key are a double run") {
     const auto a = record("a").grant(1, 100, all_shards()).run(10, "k", "id-1").run(20, "k", "id-2");
-    SUBCASE("distinct keys are not") {
+    SUBCASE("starts of distinct idempotency keys are not") {
         CHECK(judge({a}).double_runs == 0);
         CHECK(judge({a}).runs == 2);
     }
-    SUBCASE("on another upstream") {
+    SUBCASE("a second start on another upstream counts too") {
         const auto b = record("b").grant(200, 300, all_shards()).run(210, "k", "id-1");
         const auto found = judge({a, b});
         CHECK(found.double_runs == 1);
         CHECK(found.runs_by_idempotency_key.at("id-1") == 2);
     }
-    SUBCASE("three starts of one key count once") {
+    SUBCASE("three starts of one idempotency key count once") {
         auto b = a;
         b.run(30, "k", "id-1").run(31, "k", "id-1");
         CHECK(judge({b}).double_runs == 1);
@@ -83,8 +84,9 @@
     }
 }
 
-TEST_CASE("a run needs a live grant of its key at its start") {
-    SUBCASE("before, during and after the lease") {
+// Guards against a judge that accepts a run whose upstream had lost its grant, or never had one.
+TEST_CASE("a run that starts without a live grant of its key is counted") {
+    SUBCASE("runs before and after the lease count, one during it does not") {
         const auto a =
             record("a").run(5, "k", "1").grant(10, 100, all_shards()).run(50, "k", "2").run(100, "k", "3");
         CHECK(judge({a}).runs_without_grant == 2);
@@ -98,27 +100,28 @@
             record("a").grant(10, 100, all_shards()).grant(50, 100, grant_scope{}).run(60, "k", "1");
         CHECK(judge({a}).runs_without_grant == 1);
     }
-    SUBCASE("a restarted process holds nothing") {
+    SUBCASE("a restarted process holds no grant") {
         const auto a = record("a").grant(10, 100, all_shards()).restart(40).run(50, "k", "1");
         CHECK(judge({a}).runs_without_grant == 1);
     }
-    SUBCASE("a moved key is not part of its shard") {
+    SUBCASE("a grant of a shard does not cover its moved keys") {
         const auto a = record("a").grant(10, 100, all_shards({"k"})).run(50, "k", "1").run(51, "other", "2");
         CHECK(judge({a}).runs_without_grant == 1);
     }
-    SUBCASE("upstreams that do not check grants are counted apart") {
+    SUBCASE("runs on upstreams that do not check grants are counted separately") {
         const auto a = record("a", false).run(50, "k", "1");
         CHECK(judge({a}).runs_without_grant == 0);
         CHECK(judge({a}).unchecked_runs_without_grant == 1);
     }
 }
 
-TEST_CASE("overlapping grants of one shard are double owners") {
+// Guards against a judge that misses two owners of one shard, or reports a planned change of owner as such.
+TEST_CASE("overlapping grants of one shard to two upstreams are double ownership") {
     const auto a = record("a").grant(10, 100, one_shard(3));
-    SUBCASE("one ends when the other begins") {
+    SUBCASE("a grant that begins when the other ends does not overlap") {
         CHECK(judge({a, record("b").grant(100, 200, one_shard(3))}).double_owners == 0);
     }
-    SUBCASE("other shards do not matter") {
+    SUBCASE("grants of different shards do not overlap") {
         CHECK(judge({a, record("b").grant(10, 100, one_shard(4))}).double_owners == 0);
     }
     SUBCASE("an overlap counts with its length") {
@@ -137,32 +140,35 @@
     }
 }
 
-TEST_CASE("a hot key is owned apart from its shard") {
+// Guards against a judge that misses a second owner of a hot key, or takes the owner of its shard for one.
+TEST_CASE("ownership of a hot key is checked separately from its shard") {
     const std::string key = "hot";
     const auto shard = shard_of(key, shards);
-    const auto named = record("b").grant(50, 100, grant_scope{{}, {key}, {}});
-    SUBCASE("its shard's owner that excepts it is no second owner") {
+    const auto granted_by_name = record("b").grant(50, 100, grant_scope{{}, {key}, {}});
+    SUBCASE("the owner of the shard is no second owner while it lists the key as moved") {
         grant_scope rest = one_shard(shard);
         rest.moved_keys = {key};
-        CHECK(judge({record("a").grant(10, 100, rest), named}).double_owners == 0);
+        CHECK(judge({record("a").grant(10, 100, rest), granted_by_name}).double_owners == 0);
     }
-    SUBCASE("its shard's owner that does not except it is") {
-        CHECK(judge({record("a").grant(10, 100, one_shard(shard)), named}).double_owners == 1);
+    SUBCASE("the owner of the shard is a second owner while it does not list the key as moved") {
+        CHECK(judge({record("a").grant(10, 100, one_shard(shard)), granted_by_name}).double_owners == 1);
     }
-    SUBCASE("the exception must begin before the key is granted elsewhere") {
+    SUBCASE("the key must be listed as moved before it is granted to another upstream") {
         grant_scope rest = one_shard(shard);
         rest.moved_keys = {key};
         const auto in_time = record("a").grant(10, 100, one_shard(shard)).grant(50, 100, rest);
         const auto late = record("a").grant(10, 100, one_shard(shard)).grant(60, 100, rest);
-        CHECK(judge({in_time, named}).double_owners == 0);
-        CHECK(judge({late, named}).double_owners == 1);
+        CHECK(judge({in_time, granted_by_name}).double_owners == 0);
+        CHECK(judge({late, granted_by_name}).double_owners == 1);
     }
-    SUBCASE("two upstreams that are granted it by name are double owners") {
-        CHECK(judge({record("a").grant(60, 70, grant_scope{{}, {key}, {}}), named}).double_owners == 1);
+    SUBCASE("two upstreams that are granted the key by name are double owners") {
+        CHECK(judge({record("a").grant(60, 70, grant_scope{{}, {key}, {}}), granted_by_name}).double_owners ==
+              1);
     }
 }
 
-TEST_CASE("records survive the file") {
+// Guards against runs that are lost between the upstream and the judge, silently or through a damaged file.
+TEST_CASE("run records written to a file are read back unchanged") {
     const auto folder = std::filesystem::temp_directory_path() / ("kcs-judge-" + std::to_string(::getpid()));
     std::filesystem::create_directories(folder);
     const auto file = folder / "a";
@@ -183,11 +189,11 @@
         CHECK(n == a.lines.size());
         CHECK(judge_folder(folder, shards).runs == 1);
     }
-    SUBCASE("a line torn by a kill is ignored") {
+    SUBCASE("a last line that was cut off by a kill is ignored") {
         std::ofstream(file, std::ios::app) << R"({"at":12,"event":"sta)";
         CHECK(judge_folder(folder, shards).runs == 1);
     }
-    SUBCASE("damage elsewhere is an error, since runs could be missed") {
+    SUBCASE("any other malformed line is an error, since runs could be missed") {
         std::ofstream(file, std::ios::app) << "{\"at\":12\n";
         CHECK_THROWS_AS(judge_folder(folder, shards), invalid_input);
     }
