--- a/src/app/load_runner.h
+++ b/src/app/load_runner.h
@@ -27,14 +27,14 @@
         std::string idempotency_key;
         int attempts = 0;
         int outstanding = 0; ///< attempts in progress or waiting to be sent
-        // Set when any of the attempts ended this way.
-        bool correct = false;        ///< with an undamaged answer to this request
-        bool wrong = false;          ///< with a damaged answer, or one to another request
-        bool double_run = false;     ///< with an answer of another execution than the first correct one
-        bool unknown = false;        ///< with the outcome unknown
-        bool lost = false;           ///< without a complete answer after it was sent
-        bool failed = false;         ///< no address accepted it, or the answer has no outcome
-        std::string not_run_reason;  ///< of the last attempt with the outcome not-run; empty: none
+        // Each flag is set when any of the attempts had this result.
+        bool correct = false;        ///< an undamaged answer to this request
+        bool wrong = false;          ///< a damaged answer, or one to another request
+        bool double_run = false;     ///< at-most-once: an answer of another execution than the first answer
+        bool unknown = false;        ///< the outcome was unknown
+        bool lost = false;           ///< no complete answer after the request was sent
+        bool failed = false;         ///< no address accepted it, or the answer had no outcome
+        std::string not_run_reason;  ///< of the last answer with the outcome not-run; empty: none
         std::uint64_t execution = 0; ///< execution counter in the first correct answer
         duration latency{};          ///< of the first correct answer, from the scheduled time
     };
