--- a/src/app/load_workload.cpp
+++ b/src/app/load_workload.cpp
@@ -112,7 +112,7 @@
 }
 
 idempotency_key_source::idempotency_key_source() {
-    std::random_device device; // keys must differ between runs, whatever the seed
+    std::random_device device; // keys must differ between runs, regardless of --seed
     std::seed_seq seed{device(), device(), device(), device()};
     random_.seed(seed);
 }
