--- a/src/app/http_client.h
+++ b/src/app/http_client.h
@@ -25,12 +25,12 @@
 
 enum class http_failure : std::uint8_t {
     none,
-    refused,   ///< no connection: no byte of the request was sent
-    not_sent,  ///< the connection failed before any byte of the request was written
-    timeout,   ///< no complete answer in time; the request may have been received
-    broken,    ///< the connection failed after the request may have been received
-    cut_off,   ///< the answer was shorter than its Content-Length, or its length cannot be verified
-    cancelled, ///< cancel() was called
+    not_connected, ///< no connection: no byte of the request was sent
+    not_sent,      ///< the connection failed before any byte of the request was written
+    timeout,       ///< no complete answer in time; the request may have been received
+    broken,        ///< the connection failed after the request may have been received
+    cut_off,       ///< the answer was shorter than its Content-Length, or its length cannot be verified
+    cancelled,     ///< cancel() was called
 };
 
 struct http_result {
--- a/src/app/http_transfer.cpp
+++ b/src/app/http_transfer.cpp
@@ -179,7 +179,7 @@
 }
 
 http_failure http_transfer::failure_before_sending() const {
-    return attempts_ == 0 && socket_opened_ ? http_failure::refused : http_failure::not_sent;
+    return attempts_ == 0 && socket_opened_ ? http_failure::not_connected : http_failure::not_sent;
 }
 
 http_failure http_transfer::failure_after_sending(CURLcode code) const {
--- a/src/app/instance/grant_pusher.cpp
+++ b/src/app/instance/grant_pusher.cpp
@@ -68,7 +68,7 @@
     const time_point now = steady_now();
     if (result.failure != http_failure::none) {
         issuer_.on_failure(now);
-        if (result.failure == http_failure::refused) {
+        if (result.failure == http_failure::not_connected) {
             callbacks_.on_refused(now);
         }
         return;
--- a/src/app/instance/upstream_dispatch.cpp
+++ b/src/app/instance/upstream_dispatch.cpp
@@ -244,9 +244,9 @@
 
 void upstream_gate::on_failure(const gate_request_ptr& request, http_failure failure) {
     const time_point now = steady_now();
-    if (failure == http_failure::refused || failure == http_failure::not_sent) {
+    if (failure == http_failure::not_connected || failure == http_failure::not_sent) {
         release(request, std::nullopt);
-        if (failure == http_failure::refused) {
+        if (failure == http_failure::not_connected) {
             on_upstream_refused(now);
         }
         on_not_run(request, refusal::upstream_failed, true);
@@ -264,7 +264,7 @@
 void upstream_gate::query_outcome(const gate_request_ptr& request) {
     cancel_attempt(request->attempt_id, [this, request](const http_result& result, const std::string& state) {
         const time_point now = steady_now();
-        if (result.failure == http_failure::refused) {
+        if (result.failure == http_failure::not_connected) {
             on_upstream_refused(now);
         }
         if (state == "running" && running_.erase(request->ticket) != 0) {
--- a/src/app/instance/upstream_faults.cpp
+++ b/src/app/instance/upstream_faults.cpp
@@ -45,7 +45,7 @@
 
 void upstream_gate::on_probe_result(const http_result& result) {
     const time_point now = steady_now();
-    if (result.failure == http_failure::refused) {
+    if (result.failure == http_failure::not_connected) {
         on_upstream_refused(now);
     } else if (result.failure == http_failure::none) {
         health_.on_probe_answered(now);
--- a/src/app/load_runner.cpp
+++ b/src/app/load_runner.cpp
@@ -100,7 +100,7 @@
     const auto address = (first + tries) % settings_.addresses.size();
     client_.send(make_call(*request, address), [this, request, first, tries](const http_result& result) {
         const bool unsent =
-            result.failure == http_failure::refused || result.failure == http_failure::not_sent;
+            result.failure == http_failure::not_connected || result.failure == http_failure::not_sent;
         if (unsent && tries + 1 < settings_.addresses.size()) {
             send_to(request, first, tries + 1);
         } else {
@@ -128,7 +128,7 @@
     if (result.failure == http_failure::none) {
         classify_answer(*request, result.answer);
         unclear = header_of(result.answer, "kingcupseam-outcome") == to_string(outcome::unknown);
-    } else if (result.failure == http_failure::refused || result.failure == http_failure::not_sent) {
+    } else if (result.failure == http_failure::not_connected || result.failure == http_failure::not_sent) {
         request->failed = true;
     } else {
         request->lost = true;
--- a/tests/app/http_client_test.cpp
+++ b/tests/app/http_client_test.cpp
@@ -118,7 +118,7 @@
         const auto url = server.url();
         server.stop_listening();
         const auto result = run(call_to(url));
-        CHECK(result.failure == http_failure::refused);
+        CHECK(result.failure == http_failure::not_connected);
         CHECK_FALSE(result.connected);
     }
     SUBCASE("the connection cannot be established in time") {
@@ -136,7 +136,7 @@
         run_for(50ms);
         const auto port = std::to_string(listener.local_endpoint().port());
         const auto result = run(call_to("http://127.0.0.1:" + port + "/"));
-        CHECK(result.failure == http_failure::refused);
+        CHECK(result.failure == http_failure::not_connected);
         CHECK_FALSE(result.connected);
     }
     SUBCASE("a call that waited for a connection until its timeout was not sent") {
