--- a/src/app/http_server.cpp
+++ b/src/app/http_server.cpp
@@ -8,7 +8,7 @@
 
 namespace kingcupseam::app {
 
-bool equal_without_case(std::string_view a, std::string_view b) {
+bool equal_ignoring_case(std::string_view a, std::string_view b) {
     return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
                return std::tolower(static_cast<unsigned char>(x)) ==
                       std::tolower(static_cast<unsigned char>(y));
@@ -59,7 +59,7 @@
 
 std::string find_header(const header_list& headers, const std::string& name) {
     for (const auto& [field, value] : headers) {
-        if (equal_without_case(field, name)) {
+        if (equal_ignoring_case(field, name)) {
             return value;
         }
     }
--- a/src/app/http_server.h
+++ b/src/app/http_server.h
@@ -42,7 +42,7 @@
 };
 
 /// True when two header names are equal but for case.
-bool equal_without_case(std::string_view a, std::string_view b);
+bool equal_ignoring_case(std::string_view a, std::string_view b);
 
 /// Sends the answer of one request; may be called later, from the server's io_context, exactly once.
 using http_reply = std::function<void(http_response)>;
--- a/src/router/request_digest.cpp
+++ b/src/router/request_digest.cpp
@@ -30,7 +30,7 @@
     hash.add(request.method);
     hash.add(request.target);
     for (const auto& [name, value] : request.headers) {
-        if (!app::equal_without_case(name, id_header)) {
+        if (!app::equal_ignoring_case(name, id_header)) {
             hash.add(name);
             hash.add(value);
         }
