--- a/tests/app/profile_command_test.cpp
+++ b/tests/app/profile_command_test.cpp
@@ -52,12 +52,12 @@
 }
 
 std::string accepted(const raw_request& /*request*/) {
-    return raw_http_responder::json(200, R"({"name":"navalsig","version":5,"change_id":"x"})");
+    return raw_http_responder::json_response(200, R"({"name":"navalsig","version":5,"change_id":"x"})");
 }
 
 std::string profile_json(const std::string& content) {
     const nlohmann::json value{{"name", "navalsig"}, {"version", 4}, {"content", content}};
-    return raw_http_responder::json(200, value.dump());
+    return raw_http_responder::json_response(200, value.dump());
 }
 
 } // namespace
@@ -94,7 +94,7 @@
         const raw_http_responder cut_off(
             [](const raw_request& /*request*/) { return "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"; });
         const raw_http_responder leaderless(
-            [](const raw_request& /*request*/) { return raw_http_responder::json(503, "{}"); });
+            [](const raw_request& /*request*/) { return raw_http_responder::json_response(503, "{}"); });
         const raw_http_responder working(accepted);
         const auto it =
             profile(accept_at({dead, cut_off.address(), leaderless.address(), working.address()}));
@@ -118,7 +118,7 @@
     }
     SUBCASE("a lost race names the version in force and exits with 1") {
         const raw_http_responder instance([](const raw_request& /*request*/) {
-            return raw_http_responder::json(409, R"({"name":"navalsig","version":6,"content":"x"})");
+            return raw_http_responder::json_response(409, R"({"name":"navalsig","version":6,"content":"x"})");
         });
         const auto it = profile(accept_at({instance.address()}));
         CHECK(it.code == app::exit_failure);
@@ -127,7 +127,7 @@
     }
     SUBCASE("refused content names source and field and exits with 2") {
         const raw_http_responder instance([](const raw_request& /*request*/) {
-            return raw_http_responder::json(400, R"({"source":"s","field":"f","problem":"p"})");
+            return raw_http_responder::json_response(400, R"({"source":"s","field":"f","problem":"p"})");
         });
         const auto it = profile(accept_at({instance.address()}));
         CHECK(it.code == app::exit_invalid_input);
@@ -135,13 +135,14 @@
     }
     SUBCASE("a problem that already names source and field is not given twice") {
         const raw_http_responder instance([](const raw_request& /*request*/) {
-            return raw_http_responder::json(400, R"({"source":"s","field":"f","problem":"s: f: p"})");
+            return raw_http_responder::json_response(400,
+                                                     R"({"source":"s","field":"f","problem":"s: f: p"})");
         });
         CHECK(profile(accept_at({instance.address()})).err == "kingcupseam: s: f: p\n");
     }
     SUBCASE("a refused token is not tried on further listeners") {
         const raw_http_responder instance(
-            [](const raw_request& /*request*/) { return raw_http_responder::json(401, "{}"); });
+            [](const raw_request& /*request*/) { return raw_http_responder::json_response(401, "{}"); });
         const raw_http_responder other(accepted);
         const auto it = profile(accept_at({instance.address(), other.address()}));
         CHECK(it.code == app::exit_failure);
@@ -151,7 +152,7 @@
     SUBCASE("an answer that is not the protocol is a failure, not an acceptance") {
         for (const char* body : {"", "ok", "{}", R"({"version":"5"})", "[]"}) {
             const raw_http_responder instance(
-                [&](const raw_request& /*request*/) { return raw_http_responder::json(200, body); });
+                [&](const raw_request& /*request*/) { return raw_http_responder::json_response(200, body); });
             const auto it = profile(accept_at({instance.address()}));
             CHECK(it.code == app::exit_failure);
             CHECK(it.out.empty());
@@ -189,11 +190,12 @@
     const raw_http_responder instance([&](const raw_request& request) {
         const std::string line = request.line();
         if (line.rfind("GET /v1/profiles HTTP", 0) == 0) {
-            return raw_http_responder::json(200, R"([{"name":"cairnmark","version":1},
+            return raw_http_responder::json_response(200, R"([{"name":"cairnmark","version":1},
                 {"name":"navalsig","version":4}])");
         }
-        return line.rfind("GET /v1/profiles/navalsig HTTP", 0) == 0 ? profile_json(content)
-                                                                    : raw_http_responder::json(404, "{}");
+        return line.rfind("GET /v1/profiles/navalsig HTTP", 0) == 0
+                   ? profile_json(content)
+                   : raw_http_responder::json_response(404, "{}");
     });
     const app::arguments place{"--operator", instance.address(), "--token-file", token_file};
     const auto with_place = [&](app::arguments args) {
--- a/tests/app/raw_http_responder.h
+++ b/tests/app/raw_http_responder.h
@@ -46,7 +46,7 @@
         return received_;
     }
 
-    static std::string json(int status, const std::string& body) {
+    static std::string json_response(int status, const std::string& body) {
         return "HTTP/1.1 " + std::to_string(status) + " x\r\nContent-Length: " + std::to_string(body.size()) +
                "\r\nConnection: close\r\n\r\n" + body;
     }
--- a/tests/app/status_test.cpp
+++ b/tests/app/status_test.cpp
@@ -29,7 +29,9 @@
 }
 
 raw_http_responder::handler always(int code, const std::string& body) {
-    return [code, body](const raw_request& /*request*/) { return raw_http_responder::json(code, body); };
+    return [code, body](const raw_request& /*request*/) {
+        return raw_http_responder::json_response(code, body);
+    };
 }
 
 const std::string body = R"({"instance":"a1","leader":null,"upstreams":[{"name":"u1","epoch":7},
