--- a/src/app/http_client.h
+++ b/src/app/http_client.h
@@ -13,6 +13,7 @@
 
 namespace kingcupseam::app {
 
+/// An outgoing request and the limits of its connection and answer.
 struct http_call {
     std::string method = "GET";
     std::string url;
@@ -20,16 +21,18 @@
     std::string body;
     duration timeout = std::chrono::seconds(5);
     duration connect_timeout = std::chrono::milliseconds(500);
-    bool fresh_connection = false; ///< never reuse a pooled connection, and do not keep this one
+    /// Opens a new connection and closes it after the call, and does not count against
+    /// max_connections_per_host.
+    bool fresh_connection = false;
 };
 
 enum class http_failure : std::uint8_t {
     none,
-    not_connected, ///< no connection: no byte of the request was sent
-    not_sent,      ///< the connection failed before any byte of the request was written
+    not_connected, ///< the connection was refused or not established in time; nothing was sent
+    not_sent,      ///< ended before any byte of the request was written, e.g. while waiting for a connection
     timeout,       ///< no complete answer in time; the request may have been received
     broken,        ///< the connection failed after the request may have been received
-    cut_off,       ///< the answer was shorter than its Content-Length, or its length cannot be verified
+    cut_off,       ///< the answer is incomplete, or it declares no length by which to tell
     cancelled,     ///< cancel() was called
 };
 
@@ -43,8 +46,8 @@
 class http_client {
 public:
     struct options {
-        std::size_t max_connections_per_host = 64;
-        std::size_t max_response_bytes = 8UL * 1024 * 1024;
+        std::size_t max_connections_per_host = 64;          ///< further calls wait for one that ends
+        std::size_t max_response_bytes = 8UL * 1024 * 1024; ///< headers and body
     };
 
     http_client(asio::io_context& context, options settings);
@@ -52,11 +55,12 @@
     http_client(const http_client&) = delete;
     http_client& operator=(const http_client&) = delete;
 
-    /// @param done called exactly once on the io_context's thread, unless the client is destroyed before
+    /// @param done called exactly once on the io_context's thread, or never if the client is destroyed first
     /// @throws invalid_input when the URL is not http:// or a header has a forbidden character
-    /// @returns a number for cancel()
+    /// @returns an id for cancel()
     std::uint64_t send(http_call call, std::function<void(http_result)> done);
-    /// Ends a call; its connection is closed. No effect when it has ended.
+    /// Ends a call with http_failure::cancelled and closes its connection. No effect on a call that has
+    /// ended.
     void cancel(std::uint64_t id);
 
 private:
