--- a/src/app/http_client.cpp
+++ b/src/app/http_client.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 constexpr std::size_t max_spare_handles = 256;
-constexpr long max_idle_connections =
-    4096; // libcurl's default closes idle connections beyond 4 per running call
+// By default libcurl closes idle connections beyond 4 per running call.
+constexpr long max_idle_connections = 4096;
 
 void initialise_curl() {
     static const CURLcode code = curl_global_init(CURL_GLOBAL_DEFAULT);
@@ -30,15 +30,16 @@
     void operator()(CURLM* handle) const noexcept { curl_multi_cleanup(handle); }
 };
 
-/// A socket that libcurl watches. Wait operations hold a reference, so a late completion finds it closed.
+/// A socket that is watched for libcurl. A pending wait holds a reference, so that its handler sees `closed`
+/// even when it runs after the socket was closed.
 struct watched_socket {
     watched_socket(asio::io_context& context, curl_socket_t fd) : descriptor(context, fd) {}
     asio::posix::stream_descriptor descriptor;
-    int wanted = CURL_POLL_NONE;
-    bool reading = false;
-    bool writing = false;
+    int requested_events = CURL_POLL_NONE; ///< as passed by libcurl
+    bool read_wait_pending = false;
+    bool write_wait_pending = false;
     bool closed = false;
-    bool foreign = false; ///< opened by libcurl itself, which also closes it
+    bool opened_by_libcurl = false; ///< and closed by it, not by this client
 };
 
 } // namespace
@@ -47,11 +48,11 @@
     struct active_call {
         std::unique_ptr<http_transfer> transfer;
         std::unique_ptr<asio::steady_timer> deadline;
-        bool running = false; ///< added to the multi handle
+        bool running = false; ///< added to the multi handle; otherwise queued
     };
     struct host_calls {
-        std::size_t running = 0;
-        std::deque<std::uint64_t> waiting;
+        std::size_t running = 0; ///< not counting calls with fresh_connection
+        std::deque<std::uint64_t> queued;
     };
 
     state(asio::io_context& io, options values) : context(io), settings(values), timer(io) {
@@ -69,16 +70,18 @@
     void close_socket(curl_socket_t fd) override;
     void watch(curl_socket_t fd, int what);
     void unwatch(curl_socket_t fd);
-    void arm(const std::shared_ptr<watched_socket>& socket, curl_socket_t fd);
+    /// Starts a wait for each requested event for which none is pending.
+    void wait_for_events(const std::shared_ptr<watched_socket>& socket, curl_socket_t fd);
     void on_ready(const std::shared_ptr<watched_socket>& socket, curl_socket_t fd, int flag);
     void set_timer(long timeout_ms);
-    void drive(curl_socket_t fd, int flags);
+    void run_socket_action(curl_socket_t fd, int flags);
     void collect_finished();
 
     void start(std::uint64_t id);
-    void start_waiting(const std::string& host);
+    /// Starts queued calls of a host as far as its limit of connections allows.
+    void start_queued(const std::string& host);
     void on_deadline(std::uint64_t id);
-    /// Takes a call out of all tables; its transfer must not be used by libcurl afterwards.
+    /// Removes a call from libcurl and from all tables.
     std::unique_ptr<http_transfer> remove(std::uint64_t id);
     void complete(std::uint64_t id, http_result result);
     void stop();
@@ -122,10 +125,10 @@
     auto& socket = sockets[fd];
     if (!socket) {
         socket = std::make_shared<watched_socket>(context, fd);
-        socket->foreign = true;
+        socket->opened_by_libcurl = true;
     }
-    socket->wanted = what;
-    arm(socket, fd);
+    socket->requested_events = what;
+    wait_for_events(socket, fd);
 }
 
 void http_client::state::unwatch(curl_socket_t fd) {
@@ -133,29 +136,29 @@
     if (it == sockets.end()) {
         return;
     }
-    it->second->wanted = CURL_POLL_NONE;
-    if (it->second->foreign) {
+    it->second->requested_events = CURL_POLL_NONE;
+    if (it->second->opened_by_libcurl) {
         it->second->closed = true;
         it->second->descriptor.release();
         sockets.erase(it);
     }
 }
 
-void http_client::state::arm(const std::shared_ptr<watched_socket>& socket, curl_socket_t fd) {
+void http_client::state::wait_for_events(const std::shared_ptr<watched_socket>& socket, curl_socket_t fd) {
     using wait_type = asio::posix::stream_descriptor::wait_type;
-    if ((socket->wanted & CURL_POLL_IN) != 0 && !socket->reading) {
-        socket->reading = true;
+    if ((socket->requested_events & CURL_POLL_IN) != 0 && !socket->read_wait_pending) {
+        socket->read_wait_pending = true;
         socket->descriptor.async_wait(wait_type::wait_read,
                                       [self = shared_from_this(), socket, fd](auto /*ec*/) {
-                                          socket->reading = false;
+                                          socket->read_wait_pending = false;
                                           self->on_ready(socket, fd, CURL_CSELECT_IN);
                                       });
     }
-    if ((socket->wanted & CURL_POLL_OUT) != 0 && !socket->writing) {
-        socket->writing = true;
+    if ((socket->requested_events & CURL_POLL_OUT) != 0 && !socket->write_wait_pending) {
+        socket->write_wait_pending = true;
         socket->descriptor.async_wait(wait_type::wait_write,
                                       [self = shared_from_this(), socket, fd](auto /*ec*/) {
-                                          socket->writing = false;
+                                          socket->write_wait_pending = false;
                                           self->on_ready(socket, fd, CURL_CSELECT_OUT);
                                       });
     }
@@ -165,12 +168,12 @@
     if (stopped || socket->closed) {
         return;
     }
-    const int interest = flag == CURL_CSELECT_IN ? CURL_POLL_IN : CURL_POLL_OUT;
-    if ((socket->wanted & interest) != 0) {
-        drive(fd, flag);
+    const int event = flag == CURL_CSELECT_IN ? CURL_POLL_IN : CURL_POLL_OUT;
+    if ((socket->requested_events & event) != 0) {
+        run_socket_action(fd, flag);
     }
     if (!stopped && !socket->closed) {
-        arm(socket, fd);
+        wait_for_events(socket, fd);
     }
 }
 
@@ -204,12 +207,12 @@
     timer.expires_after(std::chrono::milliseconds(timeout_ms));
     timer.async_wait([self = shared_from_this()](const asio::error_code& ec) {
         if (!ec && !self->stopped) {
-            self->drive(CURL_SOCKET_TIMEOUT, 0);
+            self->run_socket_action(CURL_SOCKET_TIMEOUT, 0);
         }
     });
 }
 
-void http_client::state::drive(curl_socket_t fd, int flags) {
+void http_client::state::run_socket_action(curl_socket_t fd, int flags) {
     int running = 0;
     curl_multi_socket_action(multi.get(), fd, flags, &running);
     collect_finished();
@@ -249,18 +252,18 @@
     curl_multi_add_handle(multi.get(), call.transfer->handle());
 }
 
-void http_client::state::start_waiting(const std::string& host) {
+void http_client::state::start_queued(const std::string& host) {
     const auto it = hosts.find(host);
     if (it == hosts.end()) {
         return;
     }
     auto& entry = it->second;
-    while (!entry.waiting.empty() && entry.running < settings.max_connections_per_host) {
-        const auto id = entry.waiting.front();
-        entry.waiting.pop_front();
+    while (!entry.queued.empty() && entry.running < settings.max_connections_per_host) {
+        const auto id = entry.queued.front();
+        entry.queued.pop_front();
         start(id);
     }
-    if (entry.running == 0 && entry.waiting.empty()) {
+    if (entry.running == 0 && entry.queued.empty()) {
         hosts.erase(it);
     }
 }
@@ -284,16 +287,16 @@
             spare_handles.push_back(call.transfer->release_handle());
         }
     } else {
-        std::erase(entry.waiting, id);
+        std::erase(entry.queued, id);
     }
     return std::move(call.transfer);
 }
 
 void http_client::state::complete(std::uint64_t id, http_result result) {
-    const auto self = shared_from_this(); // done may destroy the client
+    const auto self = shared_from_this(); // the callback may destroy the client
     const auto transfer = remove(id);
-    start_waiting(transfer->host());
-    transfer->take_done()(std::move(result));
+    start_queued(transfer->host());
+    transfer->release_callback()(std::move(result));
 }
 
 void http_client::state::stop() {
@@ -323,7 +326,7 @@
     auto transfer =
         std::make_unique<http_transfer>(id, std::move(call), std::move(done), it.settings.max_response_bytes);
     const auto host = transfer->host();
-    const bool limited = !transfer->call().fresh_connection; // a probe must not wait behind silent calls
+    const bool limited = !transfer->call().fresh_connection; // a probe must not queue behind unanswered calls
     auto deadline = std::make_unique<asio::steady_timer>(it.context, timeout);
     deadline->async_wait([weak = std::weak_ptr(state_), id](const asio::error_code& ec) {
         if (const auto self = weak.lock(); self && !ec) {
@@ -332,7 +335,7 @@
     });
     it.calls[id] = {std::move(transfer), std::move(deadline), false};
     if (limited && it.hosts[host].running >= it.settings.max_connections_per_host) {
-        it.hosts[host].waiting.push_back(id);
+        it.hosts[host].queued.push_back(id);
     } else {
         it.start(id);
     }
@@ -346,8 +349,8 @@
     }
     auto result = it->second.transfer->abandon(http_failure::cancelled);
     const auto transfer = state_->remove(id);
-    state_->start_waiting(transfer->host());
-    asio::post(state_->context, [done = transfer->take_done(), result = std::move(result)]() mutable {
+    state_->start_queued(transfer->host());
+    asio::post(state_->context, [done = transfer->release_callback(), result = std::move(result)]() mutable {
         done(std::move(result));
     });
 }
--- a/src/app/http_transfer.h
+++ b/src/app/http_transfer.h
@@ -50,7 +50,7 @@
     const std::string& host() const noexcept { return host_; }
     CURL* handle() const noexcept { return handle_.get(); }
     curl_easy_ptr release_handle() noexcept { return std::move(handle_); }
-    std::function<void(http_result)> take_done() noexcept { return std::move(done_); }
+    std::function<void(http_result)> release_callback() noexcept { return std::move(done_); }
 
 private:
     void set_method_and_body();
