--- a/src/app/http_transfer.cpp
+++ b/src/app/http_transfer.cpp
@@ -25,7 +25,7 @@
     return std::any_of(text.begin(), text.end(), [](unsigned char c) { return c < 0x20 && c != '\t'; });
 }
 
-/// A line break in a header would let its sender add headers or whole requests.
+/// Prevents header injection: a line break in a name or value would add headers or a whole request.
 void check_headers(const header_list& headers) {
     for (const auto& [name, value] : headers) {
         if (name.empty() || name.find_first_of(": \t") != std::string::npos || has_control_character(name)) {
@@ -98,11 +98,11 @@
     curl_slist* list = nullptr;
     for (const auto& [name, value] : call_.headers) {
         std::string line = name;
-        line += value.empty() ? ";" : ": "; // libcurl's form of a header without a value
+        line += value.empty() ? ";" : ": "; // libcurl sends a header without a value only when it ends in ';'
         line += value;
         list = curl_slist_append(list, line.c_str());
     }
-    // A name without a value removes a header that libcurl would add by itself.
+    // "Name:" without a value removes a header that libcurl would otherwise add.
     list = curl_slist_append(list, "Expect:");
     if (!has_header(call_.headers, "content-type")) {
         list = curl_slist_append(list, "Content-Type:");
@@ -118,7 +118,7 @@
     curl_easy_setopt(h, CURLOPT_HTTP_VERSION, static_cast<long>(CURL_HTTP_VERSION_1_1));
     curl_easy_setopt(h, CURLOPT_PROTOCOLS_STR, "http");
     curl_easy_setopt(h, CURLOPT_FOLLOWLOCATION, 0L);
-    curl_easy_setopt(h, CURLOPT_PROXY, ""); // also keeps libcurl from reading http_proxy
+    curl_easy_setopt(h, CURLOPT_PROXY, ""); // also disables the environment variable http_proxy
     curl_easy_setopt(h, CURLOPT_CONNECTTIMEOUT_MS, milliseconds(call_.connect_timeout));
     curl_easy_setopt(h, CURLOPT_FRESH_CONNECT, call_.fresh_connection ? 1L : 0L);
     curl_easy_setopt(h, CURLOPT_FORBID_REUSE, call_.fresh_connection ? 1L : 0L);
@@ -155,13 +155,14 @@
 http_result http_transfer::abandon(http_failure reason) {
     http_result result;
     result.connected = attempts_ > 0;
-    const bool surely_unsent = reason == http_failure::timeout && !any_byte_sent();
-    result.failure = surely_unsent ? failure_before_sending() : reason;
+    const bool unsent = reason == http_failure::timeout && !any_byte_sent();
+    result.failure = unsent ? failure_before_sending() : reason;
     return result;
 }
 
-/// libcurl adds to CURLINFO_REQUEST_SIZE after each successful write of the request's head, which comes
-/// first, and keeps it when it turns to another connection. Zero therefore means that no write succeeded.
+/// libcurl increases CURLINFO_REQUEST_SIZE after each successful write of the request's headers, which
+/// precede the body, and does not reset it when it retries on another connection. Zero therefore means that
+/// no write succeeded.
 bool http_transfer::any_byte_sent() const {
     long bytes = 0;
     return !handle_
@@ -169,8 +170,8 @@
                : curl_easy_getinfo(handle_.get(), CURLINFO_REQUEST_SIZE, &bytes) != CURLE_OK || bytes > 0;
 }
 
-/// libcurl reports success when the connection closes within the headers, and cannot tell the end of a body
-/// without a length from a lost connection.
+/// libcurl reports success when the connection closes within the headers. Nor can it tell whether a body
+/// without a length is complete when the connection closes.
 bool http_transfer::answer_is_complete() const {
     long status = 0;
     curl_easy_getinfo(handle_.get(), CURLINFO_RESPONSE_CODE, &status);
@@ -184,7 +185,7 @@
 
 http_failure http_transfer::failure_after_sending(CURLcode code) const {
     switch (code) {
-    case CURLE_OK: // ended early, see answer_is_complete()
+    case CURLE_OK: // but incomplete, see answer_is_complete()
     case CURLE_PARTIAL_FILE:
         return http_failure::cut_off;
     case CURLE_OPERATION_TIMEDOUT:
@@ -195,7 +196,7 @@
 }
 
 void http_transfer::on_header_line(const std::string& line) {
-    if (line.compare(0, 5, "HTTP/") == 0) { // also begins the final answer after an informational one
+    if (line.compare(0, 5, "HTTP/") == 0) { // the status line; the final answer may follow a 1xx
         answer_.headers.clear();
         headers_complete_ = false;
         length_known_ = false;
@@ -217,8 +218,8 @@
 std::size_t http_transfer::on_header(char* data, std::size_t size, std::size_t count, void* self) {
     auto& it = *static_cast<http_transfer*>(self);
     const std::size_t n = size * count;
-    it.received_ += n;
-    if (it.received_ > it.max_response_bytes_) {
+    it.received_bytes_ += n;
+    if (it.received_bytes_ > it.max_response_bytes_) {
         return 0; // libcurl then ends the transfer and closes the connection
     }
     it.on_header_line(std::string(data, n));
@@ -228,16 +229,16 @@
 std::size_t http_transfer::on_body(char* data, std::size_t size, std::size_t count, void* self) {
     auto& it = *static_cast<http_transfer*>(self);
     const std::size_t n = size * count;
-    it.received_ += n;
-    if (it.received_ > it.max_response_bytes_) {
+    it.received_bytes_ += n;
+    if (it.received_bytes_ > it.max_response_bytes_) {
         return 0;
     }
     it.answer_.body.append(data, n);
     return n;
 }
 
-/// When a reused connection closes without an answer, libcurl sends the request again by itself, which could
-/// run an at-most-once request twice. It calls this before each attempt, so the second one is stopped here.
+/// When a reused connection closes without an answer, libcurl retries the request by itself, which could run
+/// an at-most-once request twice. libcurl calls this function before each attempt; it aborts the second one.
 int http_transfer::on_before_request(void* self, char* /*remote*/, char* /*local*/, int /*remote_port*/,
                                      int /*local_port*/) {
     auto& it = *static_cast<http_transfer*>(self);
@@ -247,7 +248,7 @@
 
 curl_socket_t http_transfer::on_open_socket(void* self, curlsocktype /*purpose*/, curl_sockaddr* address) {
     auto& it = *static_cast<http_transfer*>(self);
-    if (it.attempts_ > 0) { // only for a repetition, see on_before_request()
+    if (it.attempts_ > 0) { // libcurl opens a further socket only to retry, see on_before_request()
         return CURL_SOCKET_BAD;
     }
     it.socket_opened_ = true;
--- a/src/app/http_transfer.h
+++ b/src/app/http_transfer.h
@@ -20,7 +20,8 @@
 using curl_easy_ptr = std::unique_ptr<CURL, curl_easy_deleter>;
 using curl_list_ptr = std::unique_ptr<curl_slist, curl_list_deleter>;
 
-/// Opens and closes the sockets of libcurl's connections, which outlive single transfers.
+/// Opens and closes the sockets of libcurl's connections. A pooled connection outlives the transfer that
+/// opened it, so its socket belongs to the client.
 class socket_owner {
 public:
     socket_owner() = default;
@@ -31,18 +32,18 @@
     virtual void close_socket(curl_socket_t fd) = 0;
 };
 
-/// One call on one easy handle: its options, the answer as it arrives, and the classification of its end.
+/// One call on one easy handle: sets its options, collects the answer and classifies how the transfer ended.
 class http_transfer {
 public:
     /// @throws invalid_input when the URL is not http:// or a header has a forbidden character
     http_transfer(std::uint64_t id, http_call call, std::function<void(http_result)> done,
                   std::size_t max_response_bytes);
 
-    /// Takes a clean easy handle and sets all options of the call.
+    /// Takes over an easy handle without options and sets those of the call.
     void prepare(curl_easy_ptr handle, socket_owner& sockets);
-    /// Result of a transfer that libcurl ended with @p code.
+    /// Returns the result of a transfer that libcurl ended with @p code.
     http_result finish(CURLcode code);
-    /// Result of a transfer that was removed before its end.
+    /// Returns the result of a call that is ended before its transfer has finished, or before it has started.
     http_result abandon(http_failure reason);
 
     std::uint64_t id() const noexcept { return id_; }
@@ -78,11 +79,11 @@
     curl_easy_ptr handle_;
     curl_list_ptr headers_;
     http_response answer_;
-    std::size_t received_ = 0;
-    int attempts_ = 0; ///< how often libcurl was about to write the request
-    bool socket_opened_ = false;
+    std::size_t received_bytes_ = 0;
+    int attempts_ = 0;           ///< number of times that libcurl was about to write the request
+    bool socket_opened_ = false; ///< a new connection was needed
     bool headers_complete_ = false;
-    bool length_known_ = false;
+    bool length_known_ = false; ///< by Content-Length or Transfer-Encoding
 };
 
 } // namespace kingcupseam::app
