--- a/src/app/http_server.cpp
+++ b/src/app/http_server.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Tells the owner of the server which connections have ended.
+/// Reports closed connections to the owner of the server.
 class close_listener {
 public:
     explicit close_listener(std::function<void(std::uint64_t)> on_closed)
@@ -42,10 +42,11 @@
 
 constexpr std::size_t max_header_count = 64;
 constexpr std::size_t max_target_bytes = 8 * 1024;
-// Longer than any deadline of a profile (60 s), so that the handler always answers first.
+// RESTinio closes a connection whose request is unanswered for this long. Longer than any deadline of a
+// profile (60 s), so that the handler always answers first.
 constexpr std::chrono::seconds handler_timeout{90};
 
-http_request convert(const restinio::request_t& source) {
+http_request to_http_request(const restinio::request_t& source) {
     http_request result;
     result.method = source.header().method().c_str();
     result.target = source.header().request_target();
@@ -66,7 +67,7 @@
     return {};
 }
 
-void answer(const restinio::request_handle_t& request, http_response response) {
+void send_response(const restinio::request_handle_t& request, http_response response) {
     auto builder = request->create_response(restinio::http_status_line_t{
         restinio::http_status_code_t{static_cast<std::uint16_t>(response.status)}, ""});
     for (auto& [name, value] : response.headers) {
@@ -97,8 +98,8 @@
             [](restinio::socket_options_t& it) { it.set_option(asio::ip::tcp::no_delay{true}); })
         .connection_state_listener(std::make_shared<close_listener>(options.on_connection_closed))
         .request_handler([handler = std::move(handler)](const restinio::request_handle_t& request) {
-            handler(convert(*request),
-                    [request](http_response response) { answer(request, std::move(response)); });
+            handler(to_http_request(*request),
+                    [request](http_response response) { send_response(request, std::move(response)); });
             return restinio::request_accepted();
         });
 }
@@ -110,12 +111,12 @@
 }
 
 std::string http_request::query(const std::string& name) const {
-    const auto mark = target.find('?');
-    if (mark == std::string::npos) {
+    const auto query_start = target.find('?');
+    if (query_start == std::string::npos) {
         return {};
     }
     const auto parameters = restinio::try_parse_query<restinio::parse_query_traits::restinio_defaults>(
-        std::string_view(target).substr(mark + 1));
+        std::string_view(target).substr(query_start + 1));
     if (!parameters || !parameters->has(name)) {
         return {};
     }
--- a/src/app/http_server.h
+++ b/src/app/http_server.h
@@ -21,13 +21,13 @@
     std::string target; ///< path and query as sent
     header_list headers;
     std::string body;
-    std::uint64_t connection = 0; ///< number of the caller's connection at this server
+    std::uint64_t connection = 0; ///< id of the caller's connection at this server
 
-    /// Path without the query.
+    /// The target without its query.
     std::string path() const;
     /// Value of a query parameter, percent-decoded; empty when absent.
     std::string query(const std::string& name) const;
-    /// Value of a header, compared without case; empty when absent.
+    /// Value of the first header of that name, ignoring case; empty when absent.
     std::string header(const std::string& name) const;
 };
 
@@ -37,31 +37,33 @@
     std::string body;
     bool close = false; ///< closes the connection after this answer
 
-    /// Value of a header, compared without case; empty when absent.
+    /// Value of the first header of that name, ignoring case; empty when absent.
     std::string header(const std::string& name) const;
 };
 
-/// True when two header names are equal but for case.
+/// True when two header names are equal, ignoring case.
 bool equal_ignoring_case(std::string_view a, std::string_view b);
 
-/// Sends the answer of one request; may be called later, from the server's io_context, exactly once.
+/// Sends the answer to one request. Must be called exactly once, on the server's io_context; may be called
+/// after the handler has returned.
 using http_reply = std::function<void(http_response)>;
 using http_handler = std::function<void(http_request, http_reply)>;
 
 struct http_server_options {
     endpoint_address listen;
     std::size_t max_body_bytes = 1024 * 1024;
-    std::size_t max_header_bytes = 16 * 1024; ///< of one field
-    /// Requests that are read from a connection before the first one is answered. With 1 the close of a
-    /// connection shows only after the answer.
+    std::size_t max_header_bytes = 16 * 1024; ///< length of a single header's value
+    /// Requests that are read from a connection before the first one is answered. With 1 the server reads
+    /// nothing while a request is in progress, so it notices that the caller has closed only after the
+    /// answer.
     std::size_t max_pipelined = 1;
     duration idle_timeout = std::chrono::seconds(120);
-    /// Called on the io_context's thread when a connection has ended.
+    /// Called on the io_context's thread when a connection has closed.
     std::function<void(std::uint64_t connection)> on_connection_closed = nullptr;
 };
 
-/// HTTP/1.1 server on RESTinio that runs on a single-threaded io_context. RESTinio stays in one source file,
-/// since a file that includes it compiles slowly.
+/// HTTP/1.1 server that runs RESTinio on a single-threaded io_context. Only the source file includes
+/// RESTinio, because its headers compile slowly.
 class http_server {
 public:
     http_server(asio::io_context& context, const http_server_options& settings, http_handler handler);
@@ -69,7 +71,7 @@
     http_server(const http_server&) = delete;
     http_server& operator=(const http_server&) = delete;
 
-    /// Closes the listener; answers of requests in progress are still sent.
+    /// Closes the listening socket; requests in progress are still answered.
     void stop_accepting();
 
 private:
