--- a/src/app/instance/instance.cpp
+++ b/src/app/instance/instance.cpp
@@ -125,7 +125,7 @@
     asio::post(entry_worker_.io, [this] { entry_->stop(); });
     asio::post(gate_worker_.io, [this] { gate_->stop(); });
     control_->stop();
-    control_worker_.work.reset();
+    control_worker_.work_guard.reset();
     control_worker_.io.stop();
 }
 
--- a/src/app/worker.h
+++ b/src/app/worker.h
@@ -6,17 +6,18 @@
 
 namespace kingcupseam::app {
 
-/// One thread with its own io_context. Every object of the thread is made and destroyed while the thread is
-/// not running.
+/// A thread with its own io_context. The objects that run on the thread must be created before start() and
+/// destroyed after stop().
 struct worker {
     worker() = default;
     worker(const worker&) = delete;
     worker& operator=(const worker&) = delete;
-    // An exception may leave the owner while the thread runs.
+    // The owner may be destroyed by an exception while the thread runs.
     ~worker() { stop(); }
 
     asio::io_context io{1};
-    asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
+    /// Keeps run() from returning while nothing is pending.
+    asio::executor_work_guard<asio::io_context::executor_type> work_guard{io.get_executor()};
     std::thread thread;
 
     void start() {
