--- a/tests/app/worker_test.cpp
+++ b/tests/app/worker_test.cpp
@@ -6,8 +6,9 @@
 
 namespace kingcupseam::app {
 
-// Guards against the end of the program when an error leaves the owner of a running worker.
-TEST_CASE("a worker that is unwound while it runs joins its thread") {
+// Destroying a std::thread that has not been joined ends the program, so an exception that destroys the owner
+// of a running worker must stop and join its thread.
+TEST_CASE("a running worker that an exception destroys joins its thread") {
     const auto fail = [] {
         worker it;
         it.start();
