--- a/src/app/stand_in_answer.cpp
+++ b/src/app/stand_in_answer.cpp
@@ -14,7 +14,7 @@
     std::string text;
     for (const auto* part : {&it.key, &it.idempotency_key, &it.method, &it.path, &it.upstream}) {
         text += *part;
-        text += '\n'; // keeps bytes from moving between neighbouring fields unnoticed
+        text += '\n'; // separates the fields, so that "ab", "c" and "a", "bc" differ
     }
     text += std::to_string(it.executions);
     text += '\n';
@@ -24,7 +24,7 @@
 
 } // namespace
 
-std::string encode_answer(const stand_in_answer& answer, std::size_t bytes) {
+std::string encode_answer(const stand_in_answer& answer, std::size_t min_bytes) {
     json body{{"key", answer.key},
               {"idempotency_key", answer.idempotency_key},
               {"method", answer.method},
@@ -35,7 +35,7 @@
               {"checksum", ""}};
     constexpr std::size_t checksum_digits = 16;
     const auto length = body.dump(-1, ' ', false, json::error_handler_t::replace).size() + checksum_digits;
-    const std::string padding(bytes > length ? bytes - length : 0, '.');
+    const std::string padding(min_bytes > length ? min_bytes - length : 0, '.');
     body["padding"] = padding;
     body["checksum"] = checksum(answer, padding);
     return body.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -43,10 +43,10 @@
 
 std::optional<stand_in_answer> decode_answer(const std::string& body) {
     try {
-        const auto it = json::parse(body);
-        stand_in_answer answer{it.at("key"),  it.at("idempotency_key"), it.at("method"),
-                               it.at("path"), it.at("upstream"),        it.at("executions")};
-        if (checksum(answer, it.at("padding")) == it.at("checksum").get<std::string>()) {
+        const auto parsed = json::parse(body);
+        stand_in_answer answer{parsed.at("key"),  parsed.at("idempotency_key"), parsed.at("method"),
+                               parsed.at("path"), parsed.at("upstream"),        parsed.at("executions")};
+        if (checksum(answer, parsed.at("padding")) == parsed.at("checksum").get<std::string>()) {
             return answer;
         }
     } catch (const json::exception&) {
