--- a/src/app/stand_in_announcer.cpp
+++ b/src/app/stand_in_announcer.cpp
@@ -41,7 +41,7 @@
                               {"service", settings_.service},
                               {"address", to_string(settings_.listen)},
                               {"slots", settings_.slots},
-                              {"connections", settings_.connections},
+                              {"connections", settings_.max_connections},
                               {"checks_grants", settings_.checks_grants},
                               {"state", draining_ ? "draining" : "active"}};
     http_call call;
--- a/src/app/stand_in_endpoints.cpp
+++ b/src/app/stand_in_endpoints.cpp
@@ -51,7 +51,7 @@
 
 stand_in_endpoints::stand_in_endpoints(asio::io_context& context, const stand_in_options& settings)
     : context_(context), settings_(settings), worker_(context, settings),
-      server_(context, settings.listen, settings.connections,
+      server_(context, settings.listen, settings.max_connections,
               [this](const http_request& request, const auto& connection) {
                   try {
                       handle(request, connection);
--- a/src/app/stand_in_options.cpp
+++ b/src/app/stand_in_options.cpp
@@ -52,8 +52,8 @@
 
 void read_behaviour(const option_parser& parser, stand_in_options& result) {
     result.slots = static_cast<std::uint32_t>(parser.integer("slots", 1, 1024));
-    result.connections = static_cast<std::uint32_t>(parser.integer("connections", 1, 65535));
-    result.waiting = static_cast<std::uint32_t>(parser.integer("waiting", 0, 1'000'000));
+    result.max_connections = static_cast<std::uint32_t>(parser.integer("connections", 1, 65535));
+    result.max_waiting = static_cast<std::uint32_t>(parser.integer("waiting", 0, 1'000'000));
     result.checks_grants = !parser.flag("no-grant-checks");
     result.service_time = parser.milliseconds("service-time", 0, day_ms);
     result.service_time_spread = parser.number("service-time-spread", 0, 3);
--- a/src/app/stand_in_options.h
+++ b/src/app/stand_in_options.h
@@ -40,9 +40,9 @@
     std::string service;
     endpoint_address listen;
     std::vector<endpoint_address> instances;
-    std::uint32_t slots = 2;
-    std::uint32_t connections = 120;
-    std::uint32_t waiting = 16;
+    std::uint32_t slots = 2;             ///< requests that run at once
+    std::uint32_t max_connections = 120; ///< further connections are closed at once
+    std::uint32_t max_waiting = 16;      ///< further requests are shed
     bool checks_grants = true;
     duration service_time{};
     double service_time_spread = 0; ///< sigma of the lognormal distribution; 0: fixed
--- a/src/app/stand_in_worker.cpp
+++ b/src/app/stand_in_worker.cpp
@@ -30,7 +30,7 @@
     }
     if (running_.size() < settings_.slots) {
         start(std::move(task));
-    } else if (waiting_.size() < settings_.waiting) {
+    } else if (waiting_.size() < settings_.max_waiting) {
         waiting_.push_back(std::move(task));
     } else {
         ++counts_.shed;
--- a/tests/app/stand_in_test.cpp
+++ b/tests/app/stand_in_test.cpp
@@ -25,7 +25,7 @@
     it.service = "registry";
     it.listen = {"127.0.0.1", test::free_port()};
     it.slots = 1;
-    it.waiting = 1;
+    it.max_waiting = 1;
     it.service_time = 50ms;
     it.late_by = 150ms;
     return it;
@@ -262,7 +262,7 @@
 }
 
 TEST_CASE_FIXTURE(fixture, "a stand-in closes connections beyond its limit") {
-    settings.connections = 1;
+    settings.max_connections = 1;
     start();
     grant_all();
     const auto first = request("r1");
