--- a/src/app/stand_in.cpp
+++ b/src/app/stand_in.cpp
@@ -47,7 +47,7 @@
         auto timer = std::make_shared<asio::steady_timer>(context_, fault.after);
         timer->async_wait([this, timer, fault](const asio::error_code& ec) {
             if (!ec) {
-                endpoints_.begin_fault(fault.kind, fault.lasting, fault.fraction);
+                endpoints_.start_fault(fault.kind, fault.length, fault.fraction);
             }
         });
     }
--- a/src/app/stand_in_endpoints.cpp
+++ b/src/app/stand_in_endpoints.cpp
@@ -182,17 +182,17 @@
     auto timer = std::make_shared<asio::steady_timer>(context_, std::chrono::milliseconds(5));
     timer->async_wait([this, timer, parsed, for_ms, fraction](const asio::error_code& ec) {
         if (!ec) {
-            begin_fault(parsed, std::chrono::milliseconds(for_ms), fraction);
+            start_fault(parsed, std::chrono::milliseconds(for_ms), fraction);
         }
     });
     return json_response(200, {{"kind", kind}, {"for_ms", for_ms}, {"fraction", fraction}});
 }
 
-void stand_in_endpoints::begin_fault(fault_kind kind, duration for_time, double fraction) {
+void stand_in_endpoints::start_fault(fault_kind kind, duration length, double fraction) {
     spdlog::info("{}: fault {} begins", settings_.name, fault_names.at(static_cast<std::size_t>(kind)));
     switch (kind) {
     case fault_kind::freeze:
-        std::this_thread::sleep_for(for_time); // the only thread: nothing is read, answered or timed
+        std::this_thread::sleep_for(length); // the only thread: nothing is read, answered or timed
         spdlog::info("{}: continues after a freeze", settings_.name);
         break;
     case fault_kind::silent:
@@ -201,7 +201,7 @@
     case fault_kind::crash:
         ::_exit(70);
     default:
-        worker_.faults().begin(kind, steady_now() + for_time, fraction);
+        worker_.faults().activate(kind, steady_now() + length, fraction);
     }
 }
 
--- a/src/app/stand_in_endpoints.h
+++ b/src/app/stand_in_endpoints.h
@@ -13,8 +13,8 @@
 public:
     stand_in_endpoints(asio::io_context& context, const stand_in_options& settings);
 
-    /// @param for_time duration of the fault; unused for silent and crash
-    void begin_fault(fault_kind kind, duration for_time, double fraction);
+    /// @param length duration of the fault; ignored for silent and crash
+    void start_fault(fault_kind kind, duration length, double fraction);
     void drain() noexcept { draining_ = true; }
     bool holds_live_grant() const;
     /// Nothing runs or waits, and no key is granted any more.
--- a/src/app/stand_in_options.cpp
+++ b/src/app/stand_in_options.cpp
@@ -91,15 +91,15 @@
     scheduled_fault result;
     result.kind = parse_fault_kind("--fault", parts[0]);
     const double after = parse_number("fault", parts[1]);
-    const double lasting = parse_number("fault", parts[2]);
+    const double length = parse_number("fault", parts[2]);
     result.fraction = parts.size() == 4 ? parse_number("fault", parts[3]) : 1;
-    if (after < 0 || lasting < 0 || after > day_ms || lasting > day_ms || result.fraction < 0 ||
+    if (after < 0 || length < 0 || after > day_ms || length > day_ms || result.fraction < 0 ||
         result.fraction > 1) {
         throw invalid_input("stand-in", "--fault",
                             "times must lie between 0 and a day, the fraction between 0 and 1");
     }
     result.after = duration(std::llround(after * 1e3));
-    result.lasting = duration(std::llround(lasting * 1e3));
+    result.length = duration(std::llround(length * 1e3));
     return result;
 }
 
@@ -147,11 +147,11 @@
     return duration(std::llround(static_cast<double>(mean_.count()) * factor));
 }
 
-void fault_plan::begin(fault_kind kind, time_point until, double fraction) {
+void active_faults::activate(fault_kind kind, time_point until, double fraction) {
     active_.at(static_cast<std::size_t>(kind)) = {until, fraction};
 }
 
-bool fault_plan::hits(fault_kind kind, time_point now) {
+bool active_faults::hits(fault_kind kind, time_point now) {
     const auto& it = active_.at(static_cast<std::size_t>(kind));
     return now < it.until && std::uniform_real_distribution<double>(0, 1)(random_) < it.fraction;
 }
--- a/src/app/stand_in_options.h
+++ b/src/app/stand_in_options.h
@@ -30,7 +30,7 @@
 struct scheduled_fault {
     fault_kind kind = fault_kind::freeze;
     duration after{}; ///< since the start of the process
-    duration lasting{};
+    duration length{};
     double fraction = 1; ///< of the answers
     bool operator==(const scheduled_fault&) const = default;
 };
@@ -83,13 +83,13 @@
     std::lognormal_distribution<double> factor_;
 };
 
-/// Which faults are in force, and which answers they hit.
-class fault_plan {
+/// The faults in force and, for each, the fraction of the answers that it hits.
+class active_faults {
 public:
-    explicit fault_plan(std::uint64_t seed) : random_(seed) {}
-    void begin(fault_kind kind, time_point until, double fraction);
+    explicit active_faults(std::uint64_t seed) : random_(seed) {}
+    void activate(fault_kind kind, time_point until, double fraction);
     void clear() { active_.fill({}); }
-    /// Draws whether the fault hits the answer at hand.
+    /// Decides at random, once per answer, whether the fault hits it.
     bool hits(fault_kind kind, time_point now);
 
 private:
--- a/src/app/stand_in_worker.h
+++ b/src/app/stand_in_worker.h
@@ -62,7 +62,7 @@
 
     ownership::grant_holder& holder() noexcept { return holder_; }
     const ownership::grant_holder& holder() const noexcept { return holder_; }
-    fault_plan& faults() noexcept { return faults_; }
+    active_faults& faults() noexcept { return faults_; }
     bool holds_keys() const { return !scope_.shards.empty() || !scope_.hot_keys.empty(); }
     const stand_in_counts& counts() const noexcept { return counts_; }
     std::size_t running() const noexcept { return running_.size(); }
@@ -94,7 +94,7 @@
     time_point recorded_until_ = time_point::min();
     run_recorder recorder_;
     service_time_source service_times_;
-    fault_plan faults_;
+    active_faults faults_;
     std::list<granted_run> running_;
     std::deque<stand_in_task> waiting_;
     std::unordered_map<std::string, std::uint64_t> executions_;
