--- a/src/app/stand_in_options.cpp
+++ b/src/app/stand_in_options.cpp
@@ -20,25 +20,28 @@
     parser.add()("service", po::value<std::string>()->required(), "service that it belongs to");
     parser.add()("listen", po::value<std::string>()->required(), "IP:PORT to serve on");
     parser.add()("instance", po::value<std::vector<std::string>>(),
-                 "IP:PORT of an instance's upstream listener, also a list with commas; without one it is not "
-                 "announced");
-    parser.add()("slots", po::value<std::uint64_t>()->default_value(2), "requests that run at once");
+                 "IP:PORT of an instance's upstream listener, or a comma-separated list; without one it does "
+                 "not announce itself");
+    parser.add()("slots", po::value<std::uint64_t>()->default_value(2),
+                 "maximum number of requests that run at once");
     parser.add()("connections", po::value<std::uint64_t>()->default_value(120),
-                 "connections that it accepts");
+                 "maximum number of connections that it accepts");
     parser.add()("waiting", po::value<std::uint64_t>()->default_value(16),
-                 "requests that wait; others are shed");
-    parser.add()("no-grant-checks", po::bool_switch(), "run requests without a live grant too");
+                 "maximum number of requests that wait for a slot; others are shed");
+    parser.add()("no-grant-checks", po::bool_switch(), "also run requests without a live grant");
     parser.add()("service-time", po::value<double>()->default_value(10), "mean time of an execution, ms");
     parser.add()("service-time-spread", po::value<double>()->default_value(0),
                  "sigma of the lognormal distribution of the service time; 0: fixed");
     parser.add()("cold-start", po::value<double>()->default_value(1),
-                 "factor on the service time at first, declining to 1");
-    parser.add()("cold-start-period", po::value<double>()->default_value(5000), "time of the decline, ms");
+                 "factor on the service time at the start, declining to 1");
+    parser.add()("cold-start-period", po::value<double>()->default_value(5000),
+                 "time in which the cold-start factor declines to 1, ms");
     parser.add()("load-lag", po::value<double>()->default_value(0), "age of the reported load, ms");
     parser.add()("load-misreport", po::value<double>()->default_value(1), "factor on the reported load");
-    parser.add()("answer-bytes", po::value<std::uint64_t>()->default_value(512), "least size of an answer");
+    parser.add()("answer-bytes", po::value<std::uint64_t>()->default_value(512),
+                 "minimum length of an answer's body, bytes");
     parser.add()("crash-prefix", po::value<std::string>()->default_value(""),
-                 "exit when a request whose key has this prefix starts");
+                 "exit when a request whose key has this prefix starts to run");
     parser.add()("record", po::value<std::string>()->default_value(""),
                  "append executions and grants to this file");
     parser.add()("seed", po::value<std::uint64_t>()->default_value(1), "seed of all random choices");
@@ -50,7 +53,7 @@
                  "longest time to drain on SIGTERM, ms");
 }
 
-void read_behaviour(const option_parser& parser, stand_in_options& result) {
+void read_model_options(const option_parser& parser, stand_in_options& result) {
     result.slots = static_cast<std::uint32_t>(parser.integer("slots", 1, 1024));
     result.max_connections = static_cast<std::uint32_t>(parser.integer("connections", 1, 65535));
     result.max_waiting = static_cast<std::uint32_t>(parser.integer("waiting", 0, 1'000'000));
@@ -65,10 +68,10 @@
     result.drain_limit = parser.milliseconds("drain-limit", 0, day_ms);
 }
 
-bool valid_name(const std::string& name) {
-    constexpr std::string_view others = "._-";
+bool is_valid_name(const std::string& name) {
+    constexpr std::string_view punctuation = "._-";
     return !name.empty() && name.size() <= 64 && std::all_of(name.begin(), name.end(), [&](unsigned char c) {
-        return std::isalnum(c) != 0 || others.find(static_cast<char>(c)) != std::string_view::npos;
+        return std::isalnum(c) != 0 || punctuation.find(static_cast<char>(c)) != std::string_view::npos;
     });
 }
 
@@ -111,13 +114,13 @@
     }
     stand_in_options result;
     result.name = parser.text("name");
-    if (!valid_name(result.name)) {
+    if (!is_valid_name(result.name)) {
         parser.reject("name", "must have 1 to 64 characters of A-Z, a-z, 0-9, '.', '_' and '-'");
     }
     result.service = parser.text("service");
     result.listen = parser.endpoint("listen");
     result.instances = parser.endpoints("instance");
-    read_behaviour(parser, result);
+    read_model_options(parser, result);
     result.answer_bytes = parser.integer("answer-bytes", 0, 4'000'000);
     result.crash_prefix = parser.text("crash-prefix");
     result.record = parser.text("record");
@@ -132,7 +135,8 @@
     : mean_(settings.service_time), cold_start_(settings.cold_start),
       cold_start_period_(settings.cold_start_period), started_(started),
       fixed_(settings.service_time_spread == 0), random_(settings.seed),
-      // This location gives the factor a mean of 1.
+      // exp(mu + sigma^2 / 2) is the mean of a lognormal distribution, so this mu gives the factor a mean
+      // of 1.
       factor_(-settings.service_time_spread * settings.service_time_spread / 2,
               fixed_ ? 1 : settings.service_time_spread) {}
 
@@ -140,9 +144,9 @@
     double factor = fixed_ ? 1 : factor_(random_);
     const duration age = now - started_;
     if (age < cold_start_period_) {
-        const double left =
+        const double remaining =
             1 - static_cast<double>(age.count()) / static_cast<double>(cold_start_period_.count());
-        factor *= 1 + (cold_start_ - 1) * left;
+        factor *= 1 + (cold_start_ - 1) * remaining;
     }
     return duration(std::llround(static_cast<double>(mean_.count()) * factor));
 }
--- a/src/app/stand_in_options.h
+++ b/src/app/stand_in_options.h
@@ -14,13 +14,14 @@
 
 namespace kingcupseam::app {
 
+/// Faults that a stand-in can simulate.
 enum class fault_kind : std::uint8_t {
-    freeze,  ///< the process does nothing, as if stopped by SIGSTOP
-    late,    ///< answers leave after a delay
-    crossed, ///< an answer carries the id and body of another request
+    freeze,  ///< the process does nothing for a while, as if stopped by SIGSTOP
+    late,    ///< answers are sent after a delay
+    crossed, ///< an answer is replaced by the previous one, with the id and body of another request
     cut_off, ///< an answer's body is shorter than its Content-Length
-    silent,  ///< the connections open at the start of the fault go silent for good
-    crash,   ///< the process exits at once
+    silent,  ///< connections open at the start of the fault stay open but are not read or written any more
+    crash,   ///< the process exits at once, without draining
 };
 inline constexpr std::array<std::string_view, 6> fault_names{"freeze",  "late",   "crossed",
                                                              "cut-off", "silent", "crash"};
@@ -31,7 +32,7 @@
     fault_kind kind = fault_kind::freeze;
     duration after{}; ///< since the start of the process
     duration length{};
-    double fraction = 1; ///< of the answers
+    double fraction = 1; ///< share of the answers that are hit
     bool operator==(const scheduled_fault&) const = default;
 };
 
@@ -43,18 +44,18 @@
     std::uint32_t slots = 2;             ///< requests that run at once
     std::uint32_t max_connections = 120; ///< further connections are closed at once
     std::uint32_t max_waiting = 16;      ///< further requests are shed
-    bool checks_grants = true;
-    duration service_time{};
-    double service_time_spread = 0; ///< sigma of the lognormal distribution; 0: fixed
-    double cold_start = 1;          ///< factor on the service time at first
-    duration cold_start_period{};
-    duration load_lag{};
-    double load_misreport = 1; ///< factor on the reported load
-    duration late_by{};
-    duration drain_limit{};
-    std::size_t answer_bytes = 512;
-    std::string crash_prefix; ///< keys that crash the process; none when empty
-    std::filesystem::path record;
+    bool checks_grants = true;           ///< refuses requests without a live grant
+    duration service_time{};             ///< mean time of an execution
+    double service_time_spread = 0;      ///< sigma of the lognormal distribution; 0: fixed
+    double cold_start = 1;               ///< factor on the service time at the start; declines to 1
+    duration cold_start_period{};        ///< time of the decline
+    duration load_lag{};                 ///< age of the reported load
+    double load_misreport = 1;           ///< factor on the reported load
+    duration late_by{};                  ///< delay of late answers
+    duration drain_limit{};              ///< longest time to drain on SIGTERM
+    std::size_t answer_bytes = 512;      ///< minimum length of a body
+    std::string crash_prefix; ///< a request whose key starts with it crashes the process; empty: none does
+    std::filesystem::path record; ///< file to which executions and grants are appended; empty: none
     std::uint64_t seed = 0;
     std::vector<scheduled_fault> faults;
 };
@@ -63,11 +64,11 @@
 /// @throws invalid_input
 std::optional<stand_in_options> parse_stand_in_options(const arguments& args);
 
-/// KIND:AFTER_MS:FOR_MS[:FRACTION]
+/// Parses KIND:AFTER_MS:FOR_MS[:FRACTION].
 /// @throws invalid_input
 scheduled_fault parse_scheduled_fault(const std::string& text);
 
-/// Draws service times with the configured mean.
+/// Draws random service times with the configured mean, which is higher during the cold start.
 class service_time_source {
 public:
     service_time_source(const stand_in_options& settings, time_point started);
