--- a/src/app/stand_in_announcer.cpp
+++ b/src/app/stand_in_announcer.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 constexpr std::chrono::milliseconds announce_interval{500}; // docs/protocol.md
-constexpr std::chrono::milliseconds announce_timeout{400};  // ends before the next one begins
+constexpr std::chrono::milliseconds announce_timeout{400};  // ends before the next announcement
 
 } // namespace
 
 stand_in_announcer::stand_in_announcer(asio::io_context& context, const stand_in_options& settings,
-                                       std::uint64_t incarnation, std::function<bool()> needed)
-    : settings_(settings), incarnation_(incarnation), needed_(std::move(needed)), client_(context, {}),
-      timer_(context) {}
+                                       std::uint64_t incarnation, std::function<bool()> should_announce)
+    : settings_(settings), incarnation_(incarnation), should_announce_(std::move(should_announce)),
+      client_(context, {}), timer_(context) {}
 
 void stand_in_announcer::drain() {
     draining_ = true;
@@ -23,7 +23,7 @@
 }
 
 void stand_in_announcer::tick() {
-    if (!settings_.instances.empty() && (draining_ || needed_())) {
+    if (!settings_.instances.empty() && (draining_ || should_announce_())) {
         announce();
     }
     timer_.expires_after(announce_interval);
@@ -50,9 +50,9 @@
     call.headers = {{"Content-Type", "application/json"}};
     call.body = body.dump();
     call.timeout = announce_timeout;
-    client_.send(std::move(call), [this, instance](const http_result& it) {
-        if (it.failure == http_failure::none && it.answer.status == 400) {
-            spdlog::error("{} rejects the announcement: {}", to_string(instance), it.answer.body);
+    client_.send(std::move(call), [this, instance](const http_result& result) {
+        if (result.failure == http_failure::none && result.answer.status == 400) {
+            spdlog::error("{} rejects the announcement: {}", to_string(instance), result.answer.body);
         }
     });
 }
--- a/src/app/stand_in_announcer.h
+++ b/src/app/stand_in_announcer.h
@@ -9,15 +9,15 @@
 
 namespace kingcupseam::app {
 
-/// Announces a stand-in to one instance after the other while it needs to be known.
+/// Announces a stand-in periodically to the configured instances in turn.
 class stand_in_announcer {
 public:
-    /// @param needed tells whether to announce now
+    /// @param should_announce asked before each announcement until drain() is called
     stand_in_announcer(asio::io_context& context, const stand_in_options& settings, std::uint64_t incarnation,
-                       std::function<bool()> needed);
+                       std::function<bool()> should_announce);
 
     void start() { tick(); }
-    /// Announces `draining` from now on.
+    /// Announces the state `draining` from now on, first at once.
     void drain();
 
 private:
@@ -26,7 +26,7 @@
 
     const stand_in_options settings_;
     std::uint64_t incarnation_;
-    std::function<bool()> needed_;
+    std::function<bool()> should_announce_;
     http_client client_;
     asio::steady_timer timer_;
     std::size_t next_instance_ = 0;
