--- a/src/app/stand_in_endpoints.cpp
+++ b/src/app/stand_in_endpoints.cpp
@@ -31,9 +31,10 @@
     return value;
 }
 
-std::uint64_t unsigned_header(const http_request& request, const std::string& name, std::uint64_t absent) {
+std::uint64_t unsigned_header(const http_request& request, const std::string& name,
+                              std::uint64_t default_value) {
     const auto text = request.header(name);
-    return text.empty() ? absent : parse_unsigned(name, text);
+    return text.empty() ? default_value : parse_unsigned(name, text);
 }
 
 std::optional<grant_scope> parse_scope(const json& body) {
@@ -68,35 +69,36 @@
     sample_load();
     const auto path = request.path();
     if (path == "/kcs/grant") {
-        grant(request, connection);
+        handle_grant(request, connection);
     } else if (path.compare(0, 5, "/kcs/") == 0 || path.compare(0, 10, "/stand-in/") == 0) {
-        connection->answer(control(request), answer_damage::none);
+        connection->answer(handle_control(request), answer_damage::none);
     } else {
-        run(request, connection);
+        submit_request(request, connection);
     }
 }
 
-http_response stand_in_endpoints::control(const http_request& request) {
+http_response stand_in_endpoints::handle_control(const http_request& request) {
     const auto path = request.path();
     if (path == "/kcs/cancel") {
-        return cancel(request);
+        return handle_cancel(request);
     }
     if (path == "/kcs/health") {
-        return health();
+        return handle_health();
     }
     if (path == "/kcs/load") {
-        return load();
+        return handle_load();
     }
     if (path == "/stand-in/fault") {
-        return fault(request);
+        return handle_fault(request);
     }
     if (path == "/stand-in/report") {
-        return report();
+        return handle_report();
     }
     return json_response(404, {{"problem", "no such endpoint"}});
 }
 
-void stand_in_endpoints::run(const http_request& request, const stand_in_connection_ptr& connection) {
+void stand_in_endpoints::submit_request(const http_request& request,
+                                        const stand_in_connection_ptr& connection) {
     stand_in_task task;
     task.connection = connection;
     task.id = request.header("Kingcupseam-Request-Id");
@@ -105,17 +107,18 @@
     task.idempotency_key = request.header("Idempotency-Key");
     task.shard = static_cast<std::uint32_t>(unsigned_header(request, "Kingcupseam-Shard", 0));
     task.epoch = unsigned_header(request, "Kingcupseam-Epoch", 0);
-    constexpr std::uint64_t longest_ms = 86'400'000;
-    const auto left = std::min(unsigned_header(request, "Kingcupseam-Deadline-Ms", longest_ms), longest_ms);
-    task.deadline = steady_now() + std::chrono::milliseconds(left);
-    renew(request, task.epoch);
+    constexpr std::uint64_t max_deadline_ms = 86'400'000;
+    const auto remaining_ms =
+        std::min(unsigned_header(request, "Kingcupseam-Deadline-Ms", max_deadline_ms), max_deadline_ms);
+    task.deadline = steady_now() + std::chrono::milliseconds(remaining_ms);
+    renew_grant(request, task.epoch);
     task.request = request;
     worker_.submit(std::move(task));
 }
 
-void stand_in_endpoints::renew(const http_request& request, std::uint64_t epoch) {
+void stand_in_endpoints::renew_grant(const http_request& request, std::uint64_t epoch) {
     const auto token = request.header("Kingcupseam-Token");
-    // A request names no version, so it can renew only the grant that is held.
+    // The headers of a request name no grant version, so they can only renew the grant that is held.
     if (token.empty() || epoch != worker_.holder().epoch()) {
         return;
     }
@@ -123,7 +126,8 @@
     worker_.receive_grant(epoch, worker_.holder().version(), lease, token, std::nullopt);
 }
 
-void stand_in_endpoints::grant(const http_request& request, const stand_in_connection_ptr& connection) {
+void stand_in_endpoints::handle_grant(const http_request& request,
+                                      const stand_in_connection_ptr& connection) {
     const auto body = json::parse(request.body);
     const auto epoch = parse_unsigned("epoch", body.at("epoch"));
     const auto version = parse_unsigned("version", body.at("version"));
@@ -149,22 +153,22 @@
         [connection, answer] { connection->answer(json_response(200, answer), answer_damage::none); });
 }
 
-http_response stand_in_endpoints::cancel(const http_request& request) {
+http_response stand_in_endpoints::handle_cancel(const http_request& request) {
     return json_response(200, {{"state", worker_.cancel(json::parse(request.body).at("request_id"))}});
 }
 
-http_response stand_in_endpoints::health() const {
-    const char* const idle = worker_.counts().started == 0 && !holds_live_grant() ? "starting" : "ok";
-    return json_response(200, {{"state", draining_ ? "draining" : idle}});
+http_response stand_in_endpoints::handle_health() const {
+    const char* const active_state = worker_.counts().started == 0 && !holds_live_grant() ? "starting" : "ok";
+    return json_response(200, {{"state", draining_ ? "draining" : active_state}});
 }
 
-http_response stand_in_endpoints::load() {
+http_response stand_in_endpoints::handle_load() {
     const auto it = reported_load();
     return json_response(200,
                          {{"in_flight", it.in_flight}, {"slots", settings_.slots}, {"waiting", it.waiting}});
 }
 
-http_response stand_in_endpoints::fault(const http_request& request) {
+http_response stand_in_endpoints::handle_fault(const http_request& request) {
     if (request.method != "POST") {
         return json_response(405, {{"problem", "use POST"}});
     }
@@ -178,7 +182,7 @@
     const auto fraction =
         request.query("fraction").empty() ? 1 : parse_number("fraction", request.query("fraction"));
     const auto parsed = parse_fault_kind("fault", kind);
-    // The answer leaves before the fault begins.
+    // The delay lets this answer be sent before the fault starts.
     auto timer = std::make_shared<asio::steady_timer>(context_, std::chrono::milliseconds(5));
     timer->async_wait([this, timer, parsed, for_ms, fraction](const asio::error_code& ec) {
         if (!ec) {
@@ -192,7 +196,8 @@
     spdlog::info("{}: fault {} begins", settings_.name, fault_names.at(static_cast<std::size_t>(kind)));
     switch (kind) {
     case fault_kind::freeze:
-        std::this_thread::sleep_for(length); // the only thread: nothing is read, answered or timed
+        // Blocks the only thread: nothing is read or answered, and no timer fires.
+        std::this_thread::sleep_for(length);
         spdlog::info("{}: continues after a freeze", settings_.name);
         break;
     case fault_kind::silent:
@@ -205,23 +210,23 @@
     }
 }
 
-http_response stand_in_endpoints::report() const {
-    const auto& n = worker_.counts();
+http_response stand_in_endpoints::handle_report() const {
+    const auto& totals = worker_.counts();
     return json_response(200, {{"name", settings_.name},
                                {"service", settings_.service},
-                               {"started", n.started},
-                               {"finished", n.finished},
+                               {"started", totals.started},
+                               {"finished", totals.finished},
                                {"running", worker_.running()},
                                {"waiting", worker_.waiting()},
                                {"keys", worker_.keys()},
-                               {"refused_grant", n.refused_grant},
-                               {"refused_deadline", n.refused_deadline},
-                               {"refused_cancelled", n.refused_cancelled},
-                               {"shed", n.shed},
-                               {"cancelled", n.cancelled},
-                               {"late", n.late},
-                               {"crossed", n.crossed},
-                               {"cut_off", n.cut_off},
+                               {"refused_grant", totals.refused_grant},
+                               {"refused_deadline", totals.refused_deadline},
+                               {"refused_cancelled", totals.refused_cancelled},
+                               {"shed", totals.shed},
+                               {"cancelled", totals.cancelled},
+                               {"late", totals.late},
+                               {"crossed", totals.crossed},
+                               {"cut_off", totals.cut_off},
                                {"connections", server_.connections()},
                                {"rejected_connections", server_.rejected_connections()},
                                {"live_grant", holds_live_grant()},
@@ -230,16 +235,16 @@
 
 void stand_in_endpoints::sample_load() {
     const auto now = steady_now();
-    samples_.push_back({now, worker_.running(), worker_.waiting()});
-    // Keeps one sample older than the lag, which is the one that is reported.
-    while (samples_.size() > 1 && samples_[1].at + settings_.load_lag <= now) {
-        samples_.pop_front();
+    load_samples_.push_back({now, worker_.running(), worker_.waiting()});
+    // Makes the newest sample that is at least as old as the lag the first one, which is reported.
+    while (load_samples_.size() > 1 && load_samples_[1].at + settings_.load_lag <= now) {
+        load_samples_.pop_front();
     }
 }
 
 stand_in_endpoints::load_sample stand_in_endpoints::reported_load() {
     sample_load();
-    load_sample it = samples_.front();
+    load_sample it = load_samples_.front();
     const auto scale = [this](std::size_t n) {
         return static_cast<std::size_t>(std::llround(static_cast<double>(n) * settings_.load_misreport));
     };
