--- a/src/app/stand_in_server.cpp
+++ b/src/app/stand_in_server.cpp
@@ -16,7 +16,7 @@
 
 struct shared_state {
     std::set<std::shared_ptr<connection>> open;
-    std::set<std::shared_ptr<connection>> silent; ///< kept open, and not counted against the limit
+    std::set<std::shared_ptr<connection>> silent; ///< stay open, but do not count against max_connections
     stand_in_server::handler on_request;
 };
 
@@ -44,16 +44,18 @@
 
 private:
     void on_read(const asio::error_code& ec, std::size_t n);
+    /// Parses the bytes received up to the end of one request, and passes that to the handler.
     void parse();
+    /// Sends response_bytes_, then closes the connection or goes on to the next request.
     void write(bool close_after);
 
-    static connection& of(http_parser* parser) { return *static_cast<connection*>(parser->data); }
+    static connection& connection_of(http_parser* parser) { return *static_cast<connection*>(parser->data); }
     static int on_url(http_parser* parser, const char* at, std::size_t n);
     static int on_field(http_parser* parser, const char* at, std::size_t n);
     static int on_value(http_parser* parser, const char* at, std::size_t n);
     static int on_body(http_parser* parser, const char* at, std::size_t n);
     static int on_complete(http_parser* parser);
-    static const http_parser_settings& callbacks();
+    static const http_parser_settings& parser_callbacks();
 
     asio::ip::tcp::socket socket_;
     std::shared_ptr<shared_state> shared_;
@@ -61,49 +63,49 @@
     http_request request_;
     std::array<char, 16384> buffer_{};
     std::string unparsed_;
-    std::string out_;
-    bool value_follows_ = false;
-    bool complete_ = false;
+    std::string response_bytes_;
+    bool last_was_value_ = false; ///< the parser's last header callback was for a value, not a name
+    bool request_complete_ = false;
     bool keep_alive_ = true;
     bool silent_ = false;
 };
 
 int connection::on_url(http_parser* parser, const char* at, std::size_t n) {
-    of(parser).request_.target.append(at, n);
+    connection_of(parser).request_.target.append(at, n);
     return 0;
 }
 
 int connection::on_field(http_parser* parser, const char* at, std::size_t n) {
-    auto& it = of(parser);
-    if (it.value_follows_ || it.request_.headers.empty()) {
+    auto& it = connection_of(parser);
+    if (it.last_was_value_ || it.request_.headers.empty()) {
         it.request_.headers.emplace_back();
     }
-    it.value_follows_ = false;
+    it.last_was_value_ = false;
     it.request_.headers.back().first.append(at, n);
     return 0;
 }
 
 int connection::on_value(http_parser* parser, const char* at, std::size_t n) {
-    auto& it = of(parser);
-    it.value_follows_ = true;
+    auto& it = connection_of(parser);
+    it.last_was_value_ = true;
     it.request_.headers.back().second.append(at, n);
     return 0;
 }
 
 int connection::on_body(http_parser* parser, const char* at, std::size_t n) {
-    of(parser).request_.body.append(at, n);
+    connection_of(parser).request_.body.append(at, n);
     return 0;
 }
 
 int connection::on_complete(http_parser* parser) {
-    auto& it = of(parser);
-    it.complete_ = true;
+    auto& it = connection_of(parser);
+    it.request_complete_ = true;
     it.keep_alive_ = http_should_keep_alive(parser) != 0;
-    http_parser_pause(parser, 1); // a pipelined request waits until this one is answered
+    http_parser_pause(parser, 1); // a pipelined request is parsed after the answer to this one
     return 0;
 }
 
-const http_parser_settings& connection::callbacks() {
+const http_parser_settings& connection::parser_callbacks() {
     static const http_parser_settings settings = [] {
         http_parser_settings it{};
         it.on_url = &connection::on_url;
@@ -118,7 +120,7 @@
 
 void connection::on_read(const asio::error_code& ec, std::size_t n) {
     if (silent_) {
-        return; // stays open: the peer learns nothing, even about its own close
+        return; // stays open, even when the peer has closed
     }
     if (ec) {
         close();
@@ -129,10 +131,11 @@
 }
 
 void connection::parse() {
-    const std::size_t used = http_parser_execute(&parser_, &callbacks(), unparsed_.data(), unparsed_.size());
-    unparsed_.erase(0, used);
-    if (complete_) {
-        complete_ = false;
+    const std::size_t parsed =
+        http_parser_execute(&parser_, &parser_callbacks(), unparsed_.data(), unparsed_.size());
+    unparsed_.erase(0, parsed);
+    if (request_complete_) {
+        request_complete_ = false;
         http_parser_pause(&parser_, 0);
         request_.method = http_method_str(static_cast<http_method>(parser_.method));
         shared_->on_request(std::exchange(request_, {}), shared_from_this());
@@ -147,18 +150,20 @@
     if (silent_ || !socket_.is_open()) {
         return;
     }
-    out_ = "HTTP/1.1 " + std::to_string(response.status) + " Status\r\n";
+    response_bytes_ = "HTTP/1.1 " + std::to_string(response.status) + " Status\r\n";
     for (const auto& [name, value] : response.headers) {
-        out_.append(name).append(": ").append(value).append("\r\n");
+        response_bytes_.append(name).append(": ").append(value).append("\r\n");
     }
-    out_.append("Content-Length: ").append(std::to_string(response.body.size())).append("\r\n\r\n");
+    response_bytes_.append("Content-Length: ")
+        .append(std::to_string(response.body.size()))
+        .append("\r\n\r\n");
     const bool cut = damage == answer_damage::cut_off;
-    out_.append(response.body, 0, cut ? response.body.size() / 2 : std::string::npos);
+    response_bytes_.append(response.body, 0, cut ? response.body.size() / 2 : std::string::npos);
     write(cut || !keep_alive_);
 }
 
 void connection::write(bool close_after) {
-    asio::async_write(socket_, asio::buffer(out_),
+    asio::async_write(socket_, asio::buffer(response_bytes_),
                       [self = shared_from_this(), close_after](const asio::error_code& ec, std::size_t) {
                           if (ec || close_after) {
                               self->close();
--- a/src/app/stand_in_server.h
+++ b/src/app/stand_in_server.h
@@ -13,22 +13,22 @@
 
 class stand_in_server;
 
-/// How an answer leaves the stand-in.
+/// Damage that a simulated fault does to an answer.
 enum class answer_damage : std::uint8_t {
     none,
-    cut_off, ///< half of the body, then the connection closes
+    cut_off, ///< sends half of the body, then closes the connection
 };
 
-/// One accepted connection; handles one request after the other.
+/// An accepted connection. It reads the next request after the answer to the one before.
 class stand_in_connection {
 public:
     virtual ~stand_in_connection() = default;
-    /// Answers the request in progress. No effect once the connection has closed or gone silent.
+    /// Answers the request in progress. No effect once the connection is closed or silenced.
     virtual void answer(const http_response& response, answer_damage damage) = 0;
 };
 using stand_in_connection_ptr = std::shared_ptr<stand_in_connection>;
 
-/// HTTP/1.1 server that can misbehave on the level of connections, which the product's server cannot.
+/// HTTP/1.1 server that can simulate faults of connections; http_server cannot.
 class stand_in_server {
 public:
     using handler = std::function<void(http_request, stand_in_connection_ptr)>;
@@ -40,9 +40,12 @@
     stand_in_server(const stand_in_server&) = delete;
     stand_in_server& operator=(const stand_in_server&) = delete;
 
-    /// Existing connections neither read nor write from now on but stay open.
+    /// From now on, the open connections neither read nor write. They stay open and do not count against the
+    /// limit.
     void silence_connections();
+    /// Number of open connections, without the silenced ones.
     std::size_t connections() const;
+    /// Number of connections that were closed because the limit was reached.
     std::uint64_t rejected_connections() const;
 
 private:
