--- a/src/app/stand_in_endpoints.cpp
+++ b/src/app/stand_in_endpoints.cpp
@@ -218,7 +218,7 @@
                                {"finished", totals.finished},
                                {"running", worker_.running()},
                                {"waiting", worker_.waiting()},
-                               {"keys", worker_.keys()},
+                               {"keys", worker_.executed_keys()},
                                {"refused_grant", totals.refused_grant},
                                {"refused_deadline", totals.refused_deadline},
                                {"refused_cancelled", totals.refused_cancelled},
@@ -257,7 +257,7 @@
 
 bool stand_in_endpoints::drained() const {
     const bool idle = worker_.running() == 0 && worker_.waiting() == 0;
-    return idle && (!worker_.holds_keys() || !holds_live_grant());
+    return idle && (!worker_.grant_covers_keys() || !holds_live_grant());
 }
 
 } // namespace kingcupseam::app
--- a/src/app/stand_in_worker.cpp
+++ b/src/app/stand_in_worker.cpp
@@ -25,7 +25,7 @@
 }
 
 void stand_in_worker::submit(stand_in_task task) {
-    if (!may_start(task)) {
+    if (!admit(task)) {
         return;
     }
     if (running_.size() < settings_.slots) {
@@ -38,8 +38,8 @@
     }
 }
 
-/// Reads the clock anew for each start, since the process may have been stopped in between.
-bool stand_in_worker::may_start(const stand_in_task& task) {
+/// Reads the clock again for each start, because the process may have been stopped since the last reading.
+bool stand_in_worker::admit(const stand_in_task& task) {
     const auto now = steady_now();
     if (cancelled_ids_.count(task.id) > 0) {
         ++counts_.refused_cancelled;
@@ -65,9 +65,10 @@
     ++counts_.started;
     task.execution = ++executions_[task.key];
     record_run_event(task, true, now);
-    const bool marked = !settings_.crash_prefix.empty() &&
-                        task.key.compare(0, settings_.crash_prefix.size(), settings_.crash_prefix) == 0;
-    if (marked || task.request.header("X-Crash") == "1") {
+    const bool has_crash_prefix =
+        !settings_.crash_prefix.empty() &&
+        task.key.compare(0, settings_.crash_prefix.size(), settings_.crash_prefix) == 0;
+    if (has_crash_prefix || task.request.header("X-Crash") == "1") {
         ::_exit(crash_exit_code);
     }
     running_.push_back({std::move(task), asio::steady_timer(context_, service_times_.next(now))});
@@ -79,22 +80,22 @@
     });
 }
 
-void stand_in_worker::finish(std::list<granted_run>::iterator run) {
+void stand_in_worker::finish(std::list<running_task>::iterator run) {
     const stand_in_task task = std::move(run->task);
     running_.erase(run);
     ++counts_.finished;
     record_run_event(task, false, steady_now());
     remember(finished_ids_, task.id);
-    release_held_replies();
+    release_held_callbacks();
     send_answer(task);
-    start_waiting();
+    start_waiting_tasks();
 }
 
-void stand_in_worker::start_waiting() {
+void stand_in_worker::start_waiting_tasks() {
     while (!waiting_.empty() && running_.size() < settings_.slots) {
         auto task = std::move(waiting_.front());
         waiting_.pop_front();
-        if (may_start(task)) {
+        if (admit(task)) {
             start(std::move(task));
         }
     }
@@ -109,12 +110,12 @@
     response.body = encode_answer({task.key, task.idempotency_key, task.request.method, task.request.path(),
                                    settings_.name, task.execution},
                                   settings_.answer_bytes);
-    const auto own = response;
+    const auto own_answer = response;
     if (faults_.hits(fault_kind::crossed, now) && last_answer_) {
         ++counts_.crossed;
         response = *last_answer_;
     }
-    last_answer_ = own;
+    last_answer_ = own_answer;
     const bool cut = faults_.hits(fault_kind::cut_off, now);
     counts_.cut_off += cut ? 1 : 0;
     const auto damage = cut ? answer_damage::cut_off : answer_damage::none;
@@ -141,32 +142,32 @@
 }
 
 std::string stand_in_worker::cancel(const std::string& request_id) {
-    const auto waits = std::find_if(waiting_.begin(), waiting_.end(),
-                                    [&](const stand_in_task& it) { return it.id == request_id; });
-    if (waits != waiting_.end()) {
-        const auto task = std::move(*waits);
-        waiting_.erase(waits);
+    const auto waiting_task = std::find_if(waiting_.begin(), waiting_.end(),
+                                           [&](const stand_in_task& it) { return it.id == request_id; });
+    if (waiting_task != waiting_.end()) {
+        const auto task = std::move(*waiting_task);
+        waiting_.erase(waiting_task);
         ++counts_.cancelled;
         remember(cancelled_ids_, request_id);
         refuse(task, 503, "shed");
         return "cancelled";
     }
-    const bool runs = std::any_of(running_.begin(), running_.end(),
-                                  [&](const granted_run& it) { return it.task.id == request_id; });
-    if (runs) {
+    const bool is_running = std::any_of(running_.begin(), running_.end(),
+                                        [&](const running_task& it) { return it.task.id == request_id; });
+    if (is_running) {
         return "running";
     }
     if (finished_ids_.count(request_id) > 0) {
         return "finished";
     }
-    const bool before = cancelled_ids_.count(request_id) > 0;
+    const bool cancelled_before = cancelled_ids_.count(request_id) > 0;
     remember(cancelled_ids_, request_id);
-    return before ? "cancelled" : "not-seen";
+    return cancelled_before ? "cancelled" : "not-seen";
 }
 
 void stand_in_worker::remember(std::unordered_set<std::string>& ids, const std::string& id) {
     if (ids.size() >= max_remembered_ids) {
-        ids.clear(); // ids are asked for within seconds, so forgetting old ones all at once does no harm
+        ids.clear(); // an id is looked up only for seconds, so dropping all at once is harmless
     }
     ids.insert(id);
 }
@@ -175,9 +176,10 @@
                                                               duration lease, const std::string& token,
                                                               const std::optional<grant_scope>& scope) {
     const auto now = steady_now();
-    const auto held = holder_.version();
+    const auto held_version = holder_.version();
     const auto reply = holder_.receive(epoch, version, lease, token, scope, now);
-    const bool changed = reply == ownership::grant_holder::reply::accepted && scope && held != version;
+    const bool changed =
+        reply == ownership::grant_holder::reply::accepted && scope && held_version != version;
     if (changed) {
         scope_ = *scope;
     }
@@ -203,7 +205,7 @@
                                     task.epoch, task.request.method}});
 }
 
-bool stand_in_worker::outside_grant(const stand_in_task& task) const {
+bool stand_in_worker::is_outside_grant(const stand_in_task& task) const {
     if (scope_.hot_keys.count(task.key) > 0) {
         return false;
     }
@@ -213,16 +215,16 @@
     return !in_ranges || scope_.moved_keys.count(task.key) > 0;
 }
 
-void stand_in_worker::after_revoked_runs(std::function<void()> then) {
-    held_replies_.push_back(std::move(then));
-    release_held_replies();
+void stand_in_worker::after_revoked_runs(std::function<void()> callback) {
+    held_callbacks_.push_back(std::move(callback));
+    release_held_callbacks();
 }
 
-void stand_in_worker::release_held_replies() {
-    const bool revoked_run = std::any_of(running_.begin(), running_.end(),
-                                         [this](const auto& it) { return outside_grant(it.task); });
-    if (!revoked_run) {
-        for (const auto& it : std::exchange(held_replies_, {})) {
+void stand_in_worker::release_held_callbacks() {
+    const bool revoked_task_runs = std::any_of(running_.begin(), running_.end(),
+                                               [this](const auto& it) { return is_outside_grant(it.task); });
+    if (!revoked_task_runs) {
+        for (const auto& it : std::exchange(held_callbacks_, {})) {
             it();
         }
     }
