--- a/src/app/stand_in.cpp
+++ b/src/app/stand_in.cpp
@@ -12,9 +12,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds drain_poll{20};
+constexpr std::chrono::milliseconds drain_poll_interval{20};
 
-/// Draws an incarnation; it must differ between starts even when the seed does not.
+/// Returns a random incarnation. It does not come from the seed, because it must differ between starts with
+/// the same seed.
 std::uint64_t draw_incarnation() {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 32U) | device();
@@ -26,14 +27,14 @@
         : settings_(settings), endpoints_(context_, settings),
           announcer_(context_, settings, draw_incarnation(),
                      [this] { return !endpoints_.holds_live_grant(); }),
-          signals_(context_, SIGTERM, SIGINT), timer_(context_) {
+          signals_(context_, SIGTERM, SIGINT), drain_timer_(context_) {
         signals_.async_wait([this](const asio::error_code& ec, int) {
             if (!ec) {
                 drain();
             }
         });
         for (const auto& it : settings.faults) {
-            schedule(it);
+            schedule_fault(it);
         }
     }
     void run() {
@@ -43,7 +44,7 @@
     }
 
 private:
-    void schedule(const scheduled_fault& fault) {
+    void schedule_fault(const scheduled_fault& fault) {
         auto timer = std::make_shared<asio::steady_timer>(context_, fault.after);
         timer->async_wait([this, timer, fault](const asio::error_code& ec) {
             if (!ec) {
@@ -55,19 +56,19 @@
         spdlog::info("{} drains", settings_.name);
         endpoints_.drain();
         announcer_.drain();
-        drain_end_ = steady_now() + settings_.drain_limit;
+        drain_deadline_ = steady_now() + settings_.drain_limit;
         poll_drain();
     }
     void poll_drain() {
-        // Seen idle twice, so that the last answers have left.
+        // Idle at two polls in a row, so that the last answers have been sent.
         idle_polls_ = endpoints_.drained() ? idle_polls_ + 1 : 0;
-        if (idle_polls_ == 2 || steady_now() >= drain_end_) {
+        if (idle_polls_ == 2 || steady_now() >= drain_deadline_) {
             spdlog::info("{} exits", settings_.name);
             context_.stop();
             return;
         }
-        timer_.expires_after(drain_poll);
-        timer_.async_wait([this](const asio::error_code& ec) {
+        drain_timer_.expires_after(drain_poll_interval);
+        drain_timer_.async_wait([this](const asio::error_code& ec) {
             if (!ec) {
                 poll_drain();
             }
@@ -79,8 +80,8 @@
     stand_in_endpoints endpoints_;
     stand_in_announcer announcer_;
     asio::signal_set signals_;
-    asio::steady_timer timer_;
-    time_point drain_end_;
+    asio::steady_timer drain_timer_;
+    time_point drain_deadline_;
     int idle_polls_ = 0;
 };
 
