--- a/tests/app/raw_http_responder.h
+++ b/tests/app/raw_http_responder.h
@@ -13,15 +13,17 @@
 
 namespace kingcupseam::test {
 
-/// What a raw responder received.
+/// A request as it was received.
 struct raw_request {
     std::string head; ///< request line and headers
     std::string body;
+    /// The request line without its line break.
     std::string line() const { return head.substr(0, head.find('\r')); }
 };
 
-/// HTTP responder on a loopback port with one thread. It answers each connection once with the bytes that the
-/// handler returns and closes it; empty bytes close the connection without an answer.
+/// HTTP server on a loopback port, with a thread of its own, that serves one connection at a time. It reads
+/// one request, writes the bytes that the handler returns and closes the connection; empty bytes close it
+/// without an answer.
 class raw_http_responder {
 public:
     using handler = std::function<std::string(const raw_request&)>;
@@ -31,10 +33,10 @@
           thread_([this] { serve(); }) {}
     ~raw_http_responder() {
         stopping_ = true;
-        // The accept call blocks; a connection to the own port wakes it up.
-        asio::ip::tcp::socket wake(context_);
+        // The thread blocks in accept(), which returns when a connection arrives.
+        asio::ip::tcp::socket wake_up(context_);
         asio::error_code ec;
-        wake.connect(acceptor_.local_endpoint(), ec);
+        wake_up.connect(acceptor_.local_endpoint(), ec);
         thread_.join();
     }
     raw_http_responder(const raw_http_responder&) = delete;
@@ -46,6 +48,7 @@
         return received_;
     }
 
+    /// Bytes of a whole response with the body @p body.
     static std::string json_response(int status, const std::string& body) {
         return "HTTP/1.1 " + std::to_string(status) + " x\r\nContent-Length: " + std::to_string(body.size()) +
                "\r\nConnection: close\r\n\r\n" + body;
@@ -60,13 +63,13 @@
             if (stopping_ || ec) {
                 return;
             }
-            answer_one(peer);
+            serve_connection(peer);
         }
     }
 
-    void answer_one(asio::ip::tcp::socket& peer) {
+    void serve_connection(asio::ip::tcp::socket& peer) {
         raw_request request;
-        if (!read(peer, request)) {
+        if (!read_request(peer, request)) {
             return;
         }
         {
@@ -78,7 +81,8 @@
         peer.shutdown(asio::ip::tcp::socket::shutdown_both, ec);
     }
 
-    static bool read(asio::ip::tcp::socket& peer, raw_request& request) {
+    /// Returns false when the connection ends before the request does.
+    static bool read_request(asio::ip::tcp::socket& peer, raw_request& request) {
         asio::error_code ec;
         std::string bytes;
         const std::size_t n = asio::read_until(peer, asio::dynamic_buffer(bytes), "\r\n\r\n", ec);
@@ -87,11 +91,11 @@
         }
         request.head = bytes.substr(0, n);
         request.body = bytes.substr(n);
-        const auto length = request.head.find("Content-Length: ");
-        const std::size_t wanted =
-            length == std::string::npos ? 0 : std::stoul(request.head.substr(length + 16));
-        if (request.body.size() < wanted) {
-            std::string rest(wanted - request.body.size(), '\0');
+        const auto length_header = request.head.find("Content-Length: ");
+        const std::size_t body_length =
+            length_header == std::string::npos ? 0 : std::stoul(request.head.substr(length_header + 16));
+        if (request.body.size() < body_length) {
+            std::string rest(body_length - request.body.size(), '\0');
             asio::read(peer, asio::buffer(rest), ec);
             request.body += rest;
         }
