--- a/tests/app/http_client_test.cpp
+++ b/tests/app/http_client_test.cpp
@@ -17,11 +17,11 @@
 
 const std::string ok_answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Name: Value\r\n\r\nok";
 
-/// Answers every request on every connection.
-void serve_forever(const raw_server::connection_ptr& it) {
+/// Answers every request on a connection.
+void answer_every_request(const raw_server::connection_ptr& it) {
     it->read_request([it](const std::string&) {
         it->write(ok_answer);
-        serve_forever(it);
+        answer_every_request(it);
     });
 }
 
@@ -38,11 +38,12 @@
         call.connect_timeout = 200ms;
         return call;
     }
-    http_result run(http_call call) {
+    /// Sends a call and waits for its result, which must arrive exactly once.
+    http_result send_and_wait(http_call call) {
         std::optional<http_result> result;
-        int answers = 0;
+        int results = 0;
         client.send(std::move(call), [&](http_result it) {
-            ++answers;
+            ++results;
             result = std::move(it);
         });
         const auto end = steady_now() + 3s;
@@ -50,7 +51,7 @@
             context.run_one_for(50ms);
         }
         run_for(20ms);
-        REQUIRE(answers == 1);
+        REQUIRE(results == 1);
         return *result;
     }
     void run_for(std::chrono::milliseconds time) {
@@ -61,7 +62,9 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(fixture, "an answered call carries the whole answer") {
+// Guards against answers that lose or change a part on their way, and against requests that libcurl changes:
+// it would normalise paths, add headers and use a proxy from the environment.
+TEST_CASE_FIXTURE(fixture, "a call sends its request unchanged and returns the whole answer") {
     std::string seen;
     raw_server server(context, [&](const auto& it, int) {
         it->read_request([&seen, it](const std::string& request) {
@@ -70,7 +73,7 @@
         });
     });
     SUBCASE("status, lower-case headers and body arrive") {
-        const auto result = run(call_to(server.url("/a/../b?c=d")));
+        const auto result = send_and_wait(call_to(server.url("/a/../b?c=d")));
         CHECK(result.failure == http_failure::none);
         CHECK(result.connected);
         CHECK(result.answer.status == 200);
@@ -78,22 +81,23 @@
         CHECK(result.answer.headers.back() == std::pair<std::string, std::string>("x-name", "Value"));
         CHECK(seen.compare(0, 25, "GET /a/../b?c=d HTTP/1.1\r\n", 25) == 0);
     }
-    SUBCASE("a large body is sent at once, since Expect would cost a round trip and a second of waiting") {
+    SUBCASE("a large body is sent without an Expect header, which would cost a round trip and a second of "
+            "waiting") {
         auto call = call_to(server.url(), std::string(2'000'000, 'x'));
         call.headers = {{"Idempotency-Key", "k"}, {"X-Empty", ""}};
-        CHECK(run(call).failure == http_failure::none);
+        CHECK(send_and_wait(call).failure == http_failure::none);
         CHECK(seen.find("Expect") == std::string::npos);
         CHECK(seen.find("Content-Type") == std::string::npos);
         CHECK(seen.find("Idempotency-Key: k\r\n") != std::string::npos);
         CHECK(seen.find("X-Empty:") != std::string::npos);
         CHECK(seen.size() > 2'000'000);
     }
-    SUBCASE("a proxy from the environment is ignored, since it would see and repeat requests") {
+    SUBCASE("a proxy from the environment is ignored, because it would see and could repeat requests") {
         ::setenv("http_proxy", "http://127.0.0.1:1", 1);
-        CHECK(run(call_to(server.url())).failure == http_failure::none);
+        CHECK(send_and_wait(call_to(server.url())).failure == http_failure::none);
         ::unsetenv("http_proxy");
     }
-    SUBCASE("a header with a line break is refused, since it would add a request") {
+    SUBCASE("a header with a line break is refused, because it could add a request") {
         auto call = call_to(server.url());
         call.headers = {{"X-Name", "a\r\nX-Other: b"}};
         CHECK_THROWS_AS(client.send(call, [](const http_result&) {}), invalid_input);
@@ -101,52 +105,55 @@
     }
 }
 
-TEST_CASE_FIXTURE(fixture, "a redirect is an answer and is not followed") {
+// Guards against a client that sends a redirected request again, possibly to another server.
+TEST_CASE_FIXTURE(fixture, "a redirect is returned as the answer and is not followed") {
     raw_server server(context, [](const auto& it, int) {
         it->read_request([it](const std::string&) {
             it->write("HTTP/1.1 302 Found\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n");
         });
     });
-    const auto result = run(call_to(server.url()));
+    const auto result = send_and_wait(call_to(server.url()));
     CHECK(result.answer.status == 302);
     CHECK(server.accepted() == 1);
 }
 
-TEST_CASE_FIXTURE(fixture, "failures before the request was written say so") {
-    SUBCASE("nobody listens") {
+// Guards against a request that is treated as possibly run, and so not sent elsewhere, although none of its
+// bytes has been sent.
+TEST_CASE_FIXTURE(fixture, "a failure before any byte was sent is reported as not connected or not sent") {
+    SUBCASE("nothing listens on the port") {
         raw_server server(context, [](const auto&, int) {});
         const auto url = server.url();
         server.stop_listening();
-        const auto result = run(call_to(url));
+        const auto result = send_and_wait(call_to(url));
         CHECK(result.failure == http_failure::not_connected);
         CHECK_FALSE(result.connected);
     }
     SUBCASE("the connection cannot be established in time") {
-        // A listener whose backlog is full neither accepts nor refuses.
+        // A listener whose backlog is full neither accepts nor refuses connections.
         asio::ip::tcp::acceptor listener(context);
         listener.open(asio::ip::tcp::v4());
         listener.bind({asio::ip::make_address("127.0.0.1"), 0});
         listener.listen(0);
-        std::vector<asio::ip::tcp::socket> fill;
+        std::vector<asio::ip::tcp::socket> backlog;
         for (int n = 0; n < 3; ++n) {
-            fill.emplace_back(context);
-            fill.back().non_blocking();
-            fill.back().async_connect(listener.local_endpoint(), [](auto) {});
+            backlog.emplace_back(context);
+            backlog.back().non_blocking();
+            backlog.back().async_connect(listener.local_endpoint(), [](auto) {});
         }
         run_for(50ms);
         const auto port = std::to_string(listener.local_endpoint().port());
-        const auto result = run(call_to("http://127.0.0.1:" + port + "/"));
+        const auto result = send_and_wait(call_to("http://127.0.0.1:" + port + "/"));
         CHECK(result.failure == http_failure::not_connected);
         CHECK_FALSE(result.connected);
     }
     SUBCASE("a call that waited for a connection until its timeout was not sent") {
         raw_server server(context,
                           [](const auto& it, int) { it->read_request([it](const std::string&) {}); });
-        http_client narrow(context, {.max_connections_per_host = 1});
+        http_client limited_client(context, {.max_connections_per_host = 1});
         std::vector<http_failure> failures;
         for (int n = 0; n < 2; ++n) {
-            narrow.send(call_to(server.url()),
-                        [&](const http_result& it) { failures.push_back(it.failure); });
+            limited_client.send(call_to(server.url()),
+                                [&](const http_result& it) { failures.push_back(it.failure); });
         }
         run_for(500ms);
         REQUIRE(failures.size() == 2);
@@ -156,28 +163,32 @@
     }
 }
 
-TEST_CASE_FIXTURE(fixture, "failures after the request may have been read never claim that it was not sent") {
+// Guards against a second run of an at-most-once request: a request that is reported as not sent may be sent
+// again, although the peer may have read and run it.
+TEST_CASE_FIXTURE(fixture,
+                  "a failure after the peer may have read the request is never reported as not sent") {
     SUBCASE("the peer accepts and closes at once") {
         raw_server server(context, [](const auto& it, int) { it->close(); });
-        CHECK(run(call_to(server.url())).failure == http_failure::broken);
+        CHECK(send_and_wait(call_to(server.url())).failure == http_failure::broken);
     }
     SUBCASE("the peer closes in the middle of the request") {
         raw_server server(context, [](const auto& it, int) {
             it->socket.async_wait(asio::ip::tcp::socket::wait_read, [it](auto) { it->reset(); });
         });
-        CHECK(run(call_to(server.url(), std::string(4'000'000, 'x'))).failure == http_failure::broken);
+        CHECK(send_and_wait(call_to(server.url(), std::string(4'000'000, 'x'))).failure ==
+              http_failure::broken);
     }
     SUBCASE("the peer closes after the request without an answer") {
         raw_server server(context, [](const auto& it, int) {
             it->read_request([it](const std::string&) { it->close(); });
         });
-        CHECK(run(call_to(server.url(), "body")).failure == http_failure::broken);
+        CHECK(send_and_wait(call_to(server.url(), "body")).failure == http_failure::broken);
         CHECK(server.accepted() == 1);
     }
     SUBCASE("the peer goes silent") {
         raw_server server(context,
                           [](const auto& it, int) { it->read_request([it](const std::string&) {}); });
-        const auto result = run(call_to(server.url()));
+        const auto result = send_and_wait(call_to(server.url()));
         CHECK(result.failure == http_failure::timeout);
         CHECK(result.connected);
     }
@@ -188,11 +199,12 @@
                                 std::string(2000000, 'x'));
             });
         });
-        CHECK(run(call_to(server.url())).failure != http_failure::none);
+        CHECK(send_and_wait(call_to(server.url())).failure != http_failure::none);
     }
 }
 
-TEST_CASE_FIXTURE(fixture, "an incomplete answer is not an answer") {
+// Guards against a truncated answer that is passed on as complete.
+TEST_CASE_FIXTURE(fixture, "an incomplete answer is reported as a failure") {
     std::string text;
     raw_server server(context, [&](const auto& it, int) {
         it->read_request([&text, it](const std::string&) {
@@ -202,39 +214,41 @@
     });
     SUBCASE("the body is shorter than its Content-Length") {
         text = "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nshort";
-        CHECK(run(call_to(server.url())).failure == http_failure::cut_off);
+        CHECK(send_and_wait(call_to(server.url())).failure == http_failure::cut_off);
     }
     SUBCASE("the connection closes within the headers, which libcurl reports as success") {
         text = "HTTP/1.1 200 OK\r\nX-Name: Value\r\nContent-Le";
-        CHECK(run(call_to(server.url())).failure == http_failure::cut_off);
+        CHECK(send_and_wait(call_to(server.url())).failure == http_failure::cut_off);
     }
-    SUBCASE("a body without a length cannot be told from a cut-off one") {
+    SUBCASE("a body without a declared length could be truncated unnoticed") {
         text = "HTTP/1.1 200 OK\r\n\r\nbody";
-        CHECK(run(call_to(server.url())).failure == http_failure::cut_off);
+        CHECK(send_and_wait(call_to(server.url())).failure == http_failure::cut_off);
     }
     SUBCASE("the last chunk is missing") {
         text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n";
-        CHECK(run(call_to(server.url())).failure == http_failure::cut_off);
+        CHECK(send_and_wait(call_to(server.url())).failure == http_failure::cut_off);
     }
     SUBCASE("a chunked body with its last chunk is complete") {
         text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n";
-        const auto result = run(call_to(server.url()));
+        const auto result = send_and_wait(call_to(server.url()));
         CHECK(result.failure == http_failure::none);
         CHECK(result.answer.body == "body");
     }
 }
 
-TEST_CASE_FIXTURE(fixture, "connections are pooled without risking a second run") {
-    SUBCASE("the next call reuses the connection, and a fresh one does not") {
-        raw_server server(context, [](const auto& it, int) { serve_forever(it); });
-        run(call_to(server.url()));
-        run(call_to(server.url()));
+// Guards against a new connection for each call, and against requests that libcurl sends again by itself when
+// a reused connection closes although the peer may have run them.
+TEST_CASE_FIXTURE(fixture, "a request on a pooled connection is sent at most once") {
+    SUBCASE("the next call reuses the connection, and a call with fresh_connection does not") {
+        raw_server server(context, [](const auto& it, int) { answer_every_request(it); });
+        send_and_wait(call_to(server.url()));
+        send_and_wait(call_to(server.url()));
         CHECK(server.accepted() == 1);
         auto call = call_to(server.url());
         call.fresh_connection = true;
-        CHECK(run(call).failure == http_failure::none);
+        CHECK(send_and_wait(call).failure == http_failure::none);
         CHECK(server.accepted() == 2);
-        run(call_to(server.url()));
+        send_and_wait(call_to(server.url()));
         CHECK(server.accepted() == 2);
     }
     SUBCASE("a connection that closed while idle is replaced before anything is written") {
@@ -244,9 +258,9 @@
                 it->close();
             });
         });
-        CHECK(run(call_to(server.url())).failure == http_failure::none);
+        CHECK(send_and_wait(call_to(server.url())).failure == http_failure::none);
         run_for(50ms);
-        CHECK(run(call_to(server.url(), "body")).failure == http_failure::none);
+        CHECK(send_and_wait(call_to(server.url(), "body")).failure == http_failure::none);
         CHECK(server.accepted() == 2);
     }
     SUBCASE("a request lost on a reused connection is not sent again") {
@@ -263,21 +277,21 @@
         });
         for (const char* body : {"body", ""}) {
             requests = 0;
-            CHECK(run(call_to(server.url())).failure == http_failure::none);
-            const auto result = run(call_to(server.url(), body));
+            CHECK(send_and_wait(call_to(server.url())).failure == http_failure::none);
+            const auto result = send_and_wait(call_to(server.url(), body));
             CHECK(result.failure == http_failure::broken);
             CHECK(result.connected);
             CHECK(requests == 2);
         }
         CHECK(server.accepted() == 2);
     }
-    SUBCASE("a request lost on a reused connection does not move to another idle one") {
+    SUBCASE("a request lost on a reused connection is not sent on another idle one") {
         int requests = 0;
-        bool lose = false;
+        bool close_without_answer = false;
         std::function<void(raw_server::connection_ptr)> serve = [&](const raw_server::connection_ptr& it) {
             it->read_request([&, it](const std::string&) {
                 ++requests;
-                if (lose) {
+                if (close_without_answer) {
                     it->close();
                     return;
                 }
@@ -293,34 +307,35 @@
         run_for(100ms);
         REQUIRE(answered == 3);
         REQUIRE(server.accepted() == 3);
-        lose = true;
-        CHECK(run(call_to(server.url(), "body")).failure == http_failure::broken);
+        close_without_answer = true;
+        CHECK(send_and_wait(call_to(server.url(), "body")).failure == http_failure::broken);
         CHECK(requests == 4);
     }
 }
 
-TEST_CASE_FIXTURE(fixture, "a call can be ended early") {
+// Guards against a cancelled call that reports no result or several, or that leaves its connection open.
+TEST_CASE_FIXTURE(fixture, "a cancelled call ends exactly once") {
     bool closed = false;
     raw_server server(context, [&](const auto& it, int) {
         it->read_request([&closed, it](const std::string&) {
             it->socket.async_wait(asio::ip::tcp::socket::wait_read, [&closed, it](auto) { closed = true; });
         });
     });
-    std::vector<http_failure> ends;
+    std::vector<http_failure> reported;
     const auto id =
-        client.send(call_to(server.url()), [&](const http_result& it) { ends.push_back(it.failure); });
+        client.send(call_to(server.url()), [&](const http_result& it) { reported.push_back(it.failure); });
     run_for(50ms);
     SUBCASE("its connection is closed and it ends exactly once") {
         client.cancel(id);
         client.cancel(id);
         run_for(400ms);
-        CHECK(ends == std::vector{http_failure::cancelled});
+        CHECK(reported == std::vector{http_failure::cancelled});
         CHECK(closed);
     }
     SUBCASE("cancelling after the end has no effect") {
         run_for(400ms);
         client.cancel(id);
         run_for(50ms);
-        CHECK(ends == std::vector{http_failure::timeout});
+        CHECK(reported == std::vector{http_failure::timeout});
     }
 }
