--- a/tests/app/stand_in_test.cpp
+++ b/tests/app/stand_in_test.cpp
@@ -34,18 +34,18 @@
 struct fixture {
     asio::io_context context;
     stand_in_options settings = default_options();
-    std::unique_ptr<stand_in_endpoints> upstream;
+    std::unique_ptr<stand_in_endpoints> stand_in;
     http_client client{context, {}};
     std::string token;
 
-    void start() { upstream = std::make_unique<stand_in_endpoints>(context, settings); }
+    void start() { stand_in = std::make_unique<stand_in_endpoints>(context, settings); }
     void run_for(std::chrono::milliseconds time) {
         context.restart();
         context.run_for(time);
     }
-    /// Starts a call; its result is set when it has ended.
-    std::shared_ptr<std::optional<http_result>> begin(const std::string& method, const std::string& path,
-                                                      const std::string& body, header_list headers = {}) {
+    /// Sends a call. The returned result is set when the call has ended.
+    std::shared_ptr<std::optional<http_result>> send_call(const std::string& method, const std::string& path,
+                                                          const std::string& body, header_list headers = {}) {
         http_call call;
         call.method = method;
         call.url = "http://" + to_string(settings.listen) + path;
@@ -56,7 +56,7 @@
         client.send(call, [result](http_result it) { *result = std::move(it); });
         return result;
     }
-    http_result wait(const std::shared_ptr<std::optional<http_result>>& result) {
+    http_result wait_for(const std::shared_ptr<std::optional<http_result>>& result) {
         const auto end = steady_now() + 2s;
         context.restart();
         while (!*result && steady_now() < end) {
@@ -65,42 +65,50 @@
         REQUIRE(result->has_value());
         return **result;
     }
-    /// Pushes a grant as a gate does and keeps the token of the reply.
-    http_result grant(const std::string& epoch, const std::string& version, const json& shards,
-                      int lease_ms = 5000) {
+    /// Sends a grant as a gate does, with the token of the reply to the grant before, and keeps the new
+    /// token.
+    http_result push_grant(const std::string& epoch, const std::string& version, const json& shards,
+                           int lease_ms = 5000) {
         const json body{{"epoch", epoch},
                         {"version", version},
                         {"lease_ms", lease_ms},
                         {"token", token},
                         {"shards", shards}};
-        auto result = wait(begin("POST", "/kcs/grant", body.dump()));
+        auto result = wait_for(send_call("POST", "/kcs/grant", body.dump()));
         if (result.failure == http_failure::none) {
             token = json::parse(result.answer.body).at("token");
         }
         return result;
     }
-    void grant_all() {
-        grant("5", "1", json::array({{0, 99}}));
-        grant("5", "1", json::array({{0, 99}}));
+    /// Grants all shards. Needs two grants: only the second has a token of the stand-in, from which its lease
+    /// counts.
+    void grant_all_shards() {
+        push_grant("5", "1", json::array({{0, 99}}));
+        push_grant("5", "1", json::array({{0, 99}}));
     }
-    std::shared_ptr<std::optional<http_result>> request(const std::string& id, const std::string& key = "k",
-                                                        const std::string& deadline_ms = "10000") {
-        return begin("POST", "/registry/rafts/" + key + "/bookings", "body",
-                     {{"Kingcupseam-Request-Id", id},
-                      {"Kingcupseam-Service", "registry"},
-                      {"Kingcupseam-Key", key},
-                      {"Kingcupseam-Shard", "7"},
-                      {"Kingcupseam-Epoch", "5"},
-                      {"Kingcupseam-Deadline-Ms", deadline_ms},
-                      {"Idempotency-Key", "key-of-" + id}});
+    std::shared_ptr<std::optional<http_result>> send_request(const std::string& id,
+                                                             const std::string& key = "k",
+                                                             const std::string& deadline_ms = "10000") {
+        return send_call("POST", "/registry/rafts/" + key + "/bookings", "body",
+                         {{"Kingcupseam-Request-Id", id},
+                          {"Kingcupseam-Service", "registry"},
+                          {"Kingcupseam-Key", key},
+                          {"Kingcupseam-Shard", "7"},
+                          {"Kingcupseam-Epoch", "5"},
+                          {"Kingcupseam-Deadline-Ms", deadline_ms},
+                          {"Idempotency-Key", "key-of-" + id}});
     }
-    json cancel(const std::string& id) {
-        return json::parse(wait(begin("POST", "/kcs/cancel", json{{"request_id", id}}.dump())).answer.body)
+    /// Returns the state that the stand-in answers.
+    json cancel_request(const std::string& id) {
+        return json::parse(
+                   wait_for(send_call("POST", "/kcs/cancel", json{{"request_id", id}}.dump())).answer.body)
             .at("state");
     }
-    json report() { return json::parse(wait(begin("GET", "/stand-in/report", "")).answer.body); }
-    void fault(const std::string& query) {
-        CHECK(wait(begin("POST", "/stand-in/fault?" + query, "")).answer.status == 200);
+    json fetch_report() {
+        return json::parse(wait_for(send_call("GET", "/stand-in/report", "")).answer.body);
+    }
+    void start_fault(const std::string& query) {
+        CHECK(wait_for(send_call("POST", "/stand-in/fault?" + query, "")).answer.status == 200);
         run_for(20ms);
     }
 };
@@ -116,180 +124,191 @@
 
 } // namespace
 
+// Guards against a stand-in that runs requests which a real upstream must refuse, or that acknowledges a
+// revocation while a revoked request still runs.
 TEST_CASE_FIXTURE(fixture, "a stand-in runs a key only under a live grant") {
     SUBCASE("the answer echoes the request and counts the key's executions") {
         start();
-        grant_all();
-        wait(request("r1"));
-        const auto result = wait(request("r2"));
+        grant_all_shards();
+        wait_for(send_request("r1"));
+        const auto result = wait_for(send_request("r2"));
         CHECK(header_of(result, "kingcupseam-request-id") == "r2");
         CHECK(decode_answer(result.answer.body) ==
               stand_in_answer{"k", "key-of-r2", "POST", "/registry/rafts/k/bookings", "u1", 2});
     }
-    SUBCASE("the first token grants nothing") {
+    SUBCASE("a grant without a token of the stand-in is not in force") {
         start();
-        grant("5", "1", json::array({{0, 99}}));
-        CHECK(wait(request("r1")).answer.status == 421);
-        CHECK(report().at("started") == 0);
+        push_grant("5", "1", json::array({{0, 99}}));
+        CHECK(wait_for(send_request("r1")).answer.status == 421);
+        CHECK(fetch_report().at("started") == 0);
     }
-    SUBCASE("a lease counts from its token, and ends") {
+    SUBCASE("a lease starts when its token was issued, and ends") {
         start();
-        grant("5", "1", json::array({{0, 99}}));
+        push_grant("5", "1", json::array({{0, 99}}));
         run_for(150ms);
-        grant("5", "1", json::array({{0, 99}}), 100);
-        CHECK(header_of(wait(request("r1")), "kingcupseam-not-started") == "grant");
+        push_grant("5", "1", json::array({{0, 99}}), 100);
+        CHECK(header_of(wait_for(send_request("r1")), "kingcupseam-not-started") == "grant");
     }
-    SUBCASE("a lower epoch is refused with the higher one") {
+    SUBCASE("a grant of a lower epoch is refused, and the answer names the current epoch") {
         start();
-        grant_all();
-        const auto result = grant("4", "9", json::array({{0, 99}}));
+        grant_all_shards();
+        const auto result = push_grant("4", "9", json::array({{0, 99}}));
         CHECK(result.answer.status == 409);
         CHECK(json::parse(result.answer.body).at("epoch") == "5");
     }
-    SUBCASE("without checks it runs anything") {
+    SUBCASE("without grant checks every request runs") {
         settings.checks_grants = false;
         start();
-        CHECK(wait(request("r1")).answer.status == 200);
+        CHECK(wait_for(send_request("r1")).answer.status == 200);
     }
     SUBCASE("a revocation is acknowledged only after the revoked run has ended") {
         start();
-        grant_all();
-        const auto running = request("r1");
+        grant_all_shards();
+        const auto running = send_request("r1");
         run_for(10ms);
-        const auto waiting = request("r2");
+        const auto waiting = send_request("r2");
         run_for(10ms);
         const auto before = steady_now();
-        CHECK(grant("6", "2", json::array()).answer.status == 200);
+        CHECK(push_grant("6", "2", json::array()).answer.status == 200);
         CHECK(steady_now() - before >= 20ms);
-        CHECK(wait(running).answer.status == 200);
-        CHECK(wait(waiting).answer.status == 421);
-        CHECK(report().at("started") == 1);
+        CHECK(wait_for(running).answer.status == 200);
+        CHECK(wait_for(waiting).answer.status == 421);
+        CHECK(fetch_report().at("started") == 1);
     }
 }
 
-TEST_CASE_FIXTURE(fixture, "a stand-in bounds its work") {
+// Guards against a stand-in that starts or queues more requests than it is configured to, or starts a request
+// that was cancelled or is past its deadline.
+TEST_CASE_FIXTURE(fixture, "a stand-in limits running and waiting requests") {
     start();
-    grant_all();
-    const auto first = request("r1");
+    grant_all_shards();
+    const auto first = send_request("r1");
     run_for(10ms);
-    SUBCASE("one waits and the next is shed") {
-        const auto second = request("r2");
+    SUBCASE("one request waits and the next is shed") {
+        const auto second = send_request("r2");
         run_for(10ms);
-        CHECK(header_of(wait(request("r3")), "kingcupseam-not-started") == "shed");
-        CHECK(wait(first).answer.status == 200);
-        CHECK(wait(second).answer.status == 200);
+        CHECK(header_of(wait_for(send_request("r3")), "kingcupseam-not-started") == "shed");
+        CHECK(wait_for(first).answer.status == 200);
+        CHECK(wait_for(second).answer.status == 200);
     }
     SUBCASE("a request whose deadline passes while it waits does not start") {
-        const auto second = request("r2", "k", "20");
-        CHECK(header_of(wait(second), "kingcupseam-not-started") == "deadline");
-        CHECK(report().at("started") == 1);
+        const auto second = send_request("r2", "k", "20");
+        CHECK(header_of(wait_for(second), "kingcupseam-not-started") == "deadline");
+        CHECK(fetch_report().at("started") == 1);
     }
-    SUBCASE("cancelling tells where the request is, and it never starts after that") {
-        const auto second = request("r2");
+    SUBCASE("cancelling returns the state of the request, and one that has not started never starts") {
+        const auto second = send_request("r2");
         run_for(10ms);
-        CHECK(cancel("r1") == "running");
-        CHECK(cancel("r2") == "cancelled");
-        CHECK(cancel("r3") == "not-seen");
-        CHECK(wait(second).answer.status == 503);
-        CHECK(wait(first).answer.status == 200);
-        CHECK(cancel("r1") == "finished");
-        CHECK(wait(request("r3")).answer.status == 503);
-        CHECK(report().at("started") == 1);
+        CHECK(cancel_request("r1") == "running");
+        CHECK(cancel_request("r2") == "cancelled");
+        CHECK(cancel_request("r3") == "not-seen");
+        CHECK(wait_for(second).answer.status == 503);
+        CHECK(wait_for(first).answer.status == 200);
+        CHECK(cancel_request("r1") == "finished");
+        CHECK(wait_for(send_request("r3")).answer.status == 503);
+        CHECK(fetch_report().at("started") == 1);
     }
-    SUBCASE("its reports follow the work") {
-        CHECK(json::parse(wait(begin("GET", "/kcs/load", "")).answer.body).at("in_flight") == 1);
-        CHECK(json::parse(wait(begin("GET", "/kcs/health", "")).answer.body).at("state") == "ok");
-        wait(first);
+    SUBCASE("the reported load and health are current") {
+        CHECK(json::parse(wait_for(send_call("GET", "/kcs/load", "")).answer.body).at("in_flight") == 1);
+        CHECK(json::parse(wait_for(send_call("GET", "/kcs/health", "")).answer.body).at("state") == "ok");
+        wait_for(first);
     }
 }
 
-TEST_CASE_FIXTURE(fixture, "reported load can lag and mislead") {
+// Guards against experiments with unreliable load reports in which the configured lag or factor has no
+// effect.
+TEST_CASE_FIXTURE(fixture, "the reported load can be delayed and scaled") {
     settings.load_lag = 10s;
     settings.load_misreport = 5;
-    SUBCASE("a lagging report shows the past") {
+    SUBCASE("with a lag the report shows an earlier load") {
         start();
-        grant_all();
-        const auto first = request("r1");
+        grant_all_shards();
+        const auto first = send_request("r1");
         run_for(10ms);
-        CHECK(json::parse(wait(begin("GET", "/kcs/load", "")).answer.body).at("in_flight") == 0);
+        CHECK(json::parse(wait_for(send_call("GET", "/kcs/load", "")).answer.body).at("in_flight") == 0);
     }
-    SUBCASE("a misleading report is scaled") {
+    SUBCASE("with a factor the report is scaled") {
         settings.load_lag = 0ms;
         start();
-        grant_all();
-        const auto first = request("r1");
+        grant_all_shards();
+        const auto first = send_request("r1");
         run_for(10ms);
-        CHECK(json::parse(wait(begin("GET", "/kcs/load", "")).answer.body).at("in_flight") == 5);
+        CHECK(json::parse(wait_for(send_call("GET", "/kcs/load", "")).answer.body).at("in_flight") == 5);
     }
 }
 
-TEST_CASE_FIXTURE(fixture, "each fault shows as it would at a real upstream") {
+// Guards against a simulated fault that the caller sees otherwise than the real one, so that tests of it
+// prove nothing.
+TEST_CASE_FIXTURE(fixture, "the caller sees each simulated fault as it would see the real one") {
     start();
-    grant_all();
+    grant_all_shards();
     SUBCASE("late answers come after the delay") {
-        fault("kind=late&for_ms=1000");
+        start_fault("kind=late&for_ms=1000");
         const auto before = steady_now();
-        CHECK(wait(request("r1")).answer.status == 200);
+        CHECK(wait_for(send_request("r1")).answer.status == 200);
         CHECK(steady_now() - before >= 200ms);
     }
     SUBCASE("crossed answers carry another request's id") {
-        wait(request("r1"));
-        fault("kind=crossed&for_ms=1000");
-        CHECK(header_of(wait(request("r2")), "kingcupseam-request-id") == "r1");
+        wait_for(send_request("r1"));
+        start_fault("kind=crossed&for_ms=1000");
+        CHECK(header_of(wait_for(send_request("r2")), "kingcupseam-request-id") == "r1");
     }
-    SUBCASE("cut-off answers are shorter than announced") {
-        fault("kind=cut-off&for_ms=1000");
-        CHECK(wait(request("r1")).failure == http_failure::cut_off);
+    SUBCASE("cut-off answers are shorter than their Content-Length") {
+        start_fault("kind=cut-off&for_ms=1000");
+        CHECK(wait_for(send_request("r1")).failure == http_failure::cut_off);
     }
-    SUBCASE("a fault can be ended and can hit no answer") {
-        fault("kind=cut-off&for_ms=1000&fraction=0");
-        CHECK(wait(request("r1")).failure == http_failure::none);
-        fault("kind=cut-off&for_ms=1000");
-        fault("kind=none");
-        CHECK(wait(request("r2")).failure == http_failure::none);
+    SUBCASE("a fault with the fraction 0 hits no answer, and a fault can be ended") {
+        start_fault("kind=cut-off&for_ms=1000&fraction=0");
+        CHECK(wait_for(send_request("r1")).failure == http_failure::none);
+        start_fault("kind=cut-off&for_ms=1000");
+        start_fault("kind=none");
+        CHECK(wait_for(send_request("r2")).failure == http_failure::none);
     }
-    SUBCASE("old connections go silent for good while new ones work") {
-        wait(request("r1"));
-        fault("kind=silent");
-        CHECK(wait(request("r2")).failure == http_failure::timeout);
-        CHECK(wait(request("r3")).failure == http_failure::none);
-        CHECK(report().at("started") == 2);
+    SUBCASE("silenced connections never answer again, while new ones work") {
+        wait_for(send_request("r1"));
+        start_fault("kind=silent");
+        CHECK(wait_for(send_request("r2")).failure == http_failure::timeout);
+        CHECK(wait_for(send_request("r3")).failure == http_failure::none);
+        CHECK(fetch_report().at("started") == 2);
     }
-    SUBCASE("an unknown fault is refused") {
-        CHECK(wait(begin("POST", "/stand-in/fault?kind=burn", "")).answer.status == 400);
-        CHECK(wait(begin("POST", "/kcs/grant", "{}")).answer.status == 400);
+    SUBCASE("an unknown fault and an empty grant are refused") {
+        CHECK(wait_for(send_call("POST", "/stand-in/fault?kind=burn", "")).answer.status == 400);
+        CHECK(wait_for(send_call("POST", "/kcs/grant", "{}")).answer.status == 400);
     }
 }
 
+// Guards against a stand-in that accepts more connections than it announces.
 TEST_CASE_FIXTURE(fixture, "a stand-in closes connections beyond its limit") {
     settings.max_connections = 1;
     start();
-    grant_all();
-    const auto first = request("r1");
+    grant_all_shards();
+    const auto first = send_request("r1");
     run_for(10ms);
-    CHECK(wait(request("r2")).failure != http_failure::none);
-    CHECK(wait(first).answer.status == 200);
-    CHECK(report().at("rejected_connections") == 1);
+    CHECK(wait_for(send_request("r2")).failure != http_failure::none);
+    CHECK(wait_for(first).answer.status == 200);
+    CHECK(fetch_report().at("rejected_connections") == 1);
 }
 
-TEST_CASE_FIXTURE(fixture, "the record of a stand-in passes the judge, and shows a run without a grant") {
+// Guards against records in which violations cannot be found, or which show violations that did not happen.
+TEST_CASE_FIXTURE(fixture,
+                  "the record of a stand-in shows runs without a grant and double runs, and only those") {
     settings.record =
         std::filesystem::temp_directory_path() / ("kcs-stand-in-" + std::to_string(::getpid())) / "u1";
     std::filesystem::create_directories(settings.record.parent_path());
-    SUBCASE("granted runs") {
+    SUBCASE("a granted run is no violation") {
         start();
-        grant_all();
-        wait(request("r1"));
+        grant_all_shards();
+        wait_for(send_request("r1"));
         const auto found = judge_folder(settings.record.parent_path(), 100);
         CHECK(found.runs == 1);
         CHECK(found.runs_without_grant == 0);
         CHECK(found.double_runs == 0);
     }
-    SUBCASE("runs of an upstream that does not check") {
+    SUBCASE("unchecked runs without a grant, and a double run, are found") {
         settings.checks_grants = false;
         start();
-        wait(request("r1"));
-        wait(request("r1"));
+        wait_for(send_request("r1"));
+        wait_for(send_request("r1"));
         const auto found = judge_folder(settings.record.parent_path(), 100);
         CHECK(found.unchecked_runs_without_grant == 2);
         CHECK(found.double_runs == 1);
