--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -26,7 +26,7 @@
 
     void run(const std::string& kind, const std::string& source, const std::function<void()>& check) {
         // A file that cannot be read is as useless as an invalid one, and the other files are checked too.
-        const int code = run_reporting(err_, [&] {
+        const int code = run_and_report_errors(err_, [&] {
             check();
             out_ << "ok " << kind << " " << source << "\n";
             return exit_success;
@@ -79,7 +79,7 @@
 } // namespace
 
 int check_command(const arguments& args, std::ostream& out, std::ostream& err) {
-    return run_reporting(err, [&] {
+    return run_and_report_errors(err, [&] {
         options::options_description visible("Without a file, the embedded charts are checked. Options");
         visible.add_options()("settings", options::value<file_list>(), "settings file; may be repeated")(
             "profile", options::value<file_list>(), "profile file; may be repeated")(
--- a/src/app/command_options.cpp
+++ b/src/app/command_options.cpp
@@ -97,7 +97,7 @@
     return {read_operators(values), read_token(values), std::chrono::seconds(timeout)};
 }
 
-int run_reporting(std::ostream& err, const std::function<int()>& command) {
+int run_and_report_errors(std::ostream& err, const std::function<int()>& command) {
     try {
         return command();
     } catch (const invalid_input& e) {
--- a/src/app/command_options.h
+++ b/src/app/command_options.h
@@ -30,6 +30,6 @@
 operator_client make_operator_client(const options::variables_map& values);
 
 /// Runs a command and turns its exceptions into a message on @p err and an exit code.
-int run_reporting(std::ostream& err, const std::function<int()>& command);
+int run_and_report_errors(std::ostream& err, const std::function<int()>& command);
 
 } // namespace kingcupseam::app
--- a/src/app/explain.cpp
+++ b/src/app/explain.cpp
@@ -164,7 +164,7 @@
 } // namespace
 
 int explain_command(const arguments& args, std::ostream& out, std::ostream& err) {
-    return run_reporting(err, [&] {
+    return run_and_report_errors(err, [&] {
         options::options_description visible("Joins what the processes logged about one request. Options");
         visible.add_options()("window-ms", options::value<std::uint32_t>()->default_value(2000),
                               "time before and after the request for which related lines are shown");
--- a/src/app/profile_command.cpp
+++ b/src/app/profile_command.cpp
@@ -184,7 +184,7 @@
 } // namespace
 
 int profile_command(const arguments& args, std::ostream& out, std::ostream& err) {
-    return run_reporting(err, [&] {
+    return run_and_report_errors(err, [&] {
         options::options_description visible("accept FILE  bring the profile of a file into force\n"
                                              "show NAME    print the profile in force\n"
                                              "list         print names and versions\n"
--- a/src/app/status.cpp
+++ b/src/app/status.cpp
@@ -101,7 +101,7 @@
 } // namespace
 
 int status_command(const arguments& args, std::ostream& out, std::ostream& err) {
-    return run_reporting(err, [&] {
+    return run_and_report_errors(err, [&] {
         options::options_description visible("Options");
         add_operator_options(visible);
         visible.add_options()("json", "print the answer as JSON");
