--- a/src/app/explain.cpp
+++ b/src/app/explain.cpp
@@ -75,8 +75,8 @@
     std::vector<const log_line*> own;
     std::set<std::string> upstreams;
     std::set<std::string> processes;
-    log_line::clock first;
-    log_line::clock last;
+    log_line::timestamp first;
+    log_line::timestamp last;
 };
 
 request_story story_of(const std::string& id, const std::vector<log_line>& lines) {
--- a/src/app/log_lines.h
+++ b/src/app/log_lines.h
@@ -10,9 +10,9 @@
 
 /// One line of the structured log of a process.
 struct log_line {
-    using clock = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
+    using timestamp = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
 
-    clock time;
+    timestamp time;
     std::string level;
     std::string process;
     std::string message;
@@ -27,6 +27,6 @@
 std::optional<log_line> parse_log_line(std::string_view text);
 
 /// "13:11:41.637"
-std::string time_of_day(log_line::clock time);
+std::string time_of_day(log_line::timestamp time);
 
 } // namespace kingcupseam::app
