--- a/src/app/explain.cpp
+++ b/src/app/explain.cpp
@@ -99,7 +99,7 @@
 }
 
 void print_line(const log_line& line, std::ostream& out) {
-    out << fmt::format("  {} {:<24} {}\n", time_of_day(line.time), line.process, line.message);
+    out << fmt::format("  {} {:<24} {}\n", format_time_of_day(line.time), line.process, line.message);
 }
 
 void print_own(const request_story& story, std::ostream& out) {
--- a/src/app/log_lines.cpp
+++ b/src/app/log_lines.cpp
@@ -86,7 +86,7 @@
     return result;
 }
 
-std::string time_of_day(log_line::timestamp time) {
+std::string format_time_of_day(log_line::timestamp time) {
     const std::chrono::hh_mm_ss parts(time - std::chrono::floor<std::chrono::days>(time));
     return fmt::format("{:02}:{:02}:{:02}.{:03}", parts.hours().count(), parts.minutes().count(),
                        parts.seconds().count(), parts.subseconds().count());
--- a/src/app/log_lines.h
+++ b/src/app/log_lines.h
@@ -27,6 +27,6 @@
 std::optional<log_line> parse_log_line(std::string_view text);
 
 /// "13:11:41.637"
-std::string time_of_day(log_line::timestamp time);
+std::string format_time_of_day(log_line::timestamp time);
 
 } // namespace kingcupseam::app
--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -39,7 +39,7 @@
     const auto read = app::parse_log_line(
         R"(  43.5 edge-1 {"time":"2026-07-14T13:11:43.500","level":"warning","process":"edge-1","message":"disk full path=/a problem=\"no space left\""})");
     REQUIRE(read);
-    CHECK(app::time_of_day(read->time) == "13:11:43.500");
+    CHECK(app::format_time_of_day(read->time) == "13:11:43.500");
     CHECK(read->process == "edge-1");
     CHECK(read->event == "disk full");
     CHECK(read->field("path") == "/a");
