--- a/src/app/commands.h
+++ b/src/app/commands.h
@@ -5,12 +5,14 @@
 
 namespace kingcupseam::app {
 
-using arguments = std::vector<std::string>; ///< words after the name of the command
+using arguments = std::vector<std::string>; ///< arguments after the command name
 
 /// Exit codes of every command.
 inline constexpr int exit_success = 0;
-inline constexpr int exit_failure = 1; ///< a check failed, or the other side refused or could not be reached
-inline constexpr int exit_invalid_input = 2; ///< wrong command line, settings, profile or chart
+/// The operation failed (for example, refused or no answer), load found a violation, or profile diff a
+/// difference.
+inline constexpr int exit_failure = 1;
+inline constexpr int exit_invalid_input = 2; ///< invalid command line, settings, profile or chart
 
 int run_serve(const arguments& args);
 int run_check(const arguments& args);
