--- a/src/app/operator_commands.h
+++ b/src/app/operator_commands.h
@@ -6,7 +6,8 @@
 
 namespace kingcupseam::app {
 
-// The commands with their streams as parameters. All return an exit code of app/commands.h.
+// Commands that take their output streams as parameters, so that tests can read the output. Each returns an
+// exit code of app/commands.h.
 int check_command(const arguments& args, std::ostream& out, std::ostream& err);
 int profile_command(const arguments& args, std::ostream& out, std::ostream& err);
 int status_command(const arguments& args, std::ostream& out, std::ostream& err);
