--- a/src/app/command_options.cpp
+++ b/src/app/command_options.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::string_view repeated = "...";
+constexpr std::string_view repeated_suffix = "...";
 
 std::string read_token(const options::variables_map& values) {
     std::string token;
@@ -33,7 +33,7 @@
     return token;
 }
 
-std::vector<endpoint_address> read_operators(const options::variables_map& values) {
+std::vector<endpoint_address> read_operator_listeners(const options::variables_map& values) {
     std::vector<endpoint_address> result;
     if (values.count("operator") != 0) {
         for (const auto& it : values["operator"].as<std::vector<std::string>>()) {
@@ -56,8 +56,8 @@
     options::options_description all = visible;
     options::positional_options_description positions;
     for (const auto& it : positional) {
-        if (it.ends_with(repeated)) {
-            const std::string name = it.substr(0, it.size() - repeated.size());
+        if (it.ends_with(repeated_suffix)) {
+            const std::string name = it.substr(0, it.size() - repeated_suffix.size());
             all.add_options()(name.c_str(), options::value<std::vector<std::string>>());
             positions.add(name.c_str(), -1);
         } else {
@@ -84,7 +84,7 @@
         "operator", options::value<std::vector<std::string>>(),
         "IP:PORT of an operator listener; may be repeated, the next one is tried on failure")(
         "token", options::value<std::string>(),
-        "operator token; other users can see it, prefer --token-file")(
+        "operator token; other users of the machine can read it, so prefer --token-file")(
         "token-file", options::value<std::string>(), "file that holds the operator token")(
         "timeout-s", options::value<int>()->default_value(10), "seconds to keep trying, 1 to 600");
 }
@@ -94,7 +94,7 @@
     if (timeout < 1 || timeout > 600) {
         throw invalid_input("command line", "--timeout-s", "must be 1 to 600");
     }
-    return {read_operators(values), read_token(values), std::chrono::seconds(timeout)};
+    return {read_operator_listeners(values), read_token(values), std::chrono::seconds(timeout)};
 }
 
 int run_and_report_errors(std::ostream& err, const std::function<int()>& command) {
