--- a/src/app/check.cpp
+++ b/src/app/check.cpp
@@ -15,17 +15,17 @@
 
 using file_list = std::vector<std::string>;
 
-file_list files_of(const options::variables_map& values, const char* option) {
+file_list option_files(const options::variables_map& values, const char* option) {
     return values.count(option) == 0 ? file_list() : values[option].as<file_list>();
 }
 
-/// Prints one line per file; remembers whether any was invalid.
-class reporter {
+/// Runs checks, prints a line for each that passes, and records whether any failed.
+class check_runner {
 public:
-    reporter(std::ostream& out, std::ostream& err) : out_(out), err_(err) {}
+    check_runner(std::ostream& out, std::ostream& err) : out_(out), err_(err) {}
 
     void run(const std::string& kind, const std::string& source, const std::function<void()>& check) {
-        // A file that cannot be read is as useless as an invalid one, and the other files are checked too.
+        // An unreadable file counts as invalid. Either way the remaining files are still checked.
         const int code = run_and_report_errors(err_, [&] {
             check();
             out_ << "ok " << kind << " " << source << "\n";
@@ -41,39 +41,39 @@
     bool failed_ = false;
 };
 
-void check_profiles(const file_list& files, reporter& report) {
+void check_profiles(const file_list& files, check_runner& runner) {
     std::vector<profile::accepted_profile> valid;
     for (const auto& it : files) {
-        report.run("profile", it, [&] {
+        runner.run("profile", it, [&] {
             const std::string content = config::read_file(it);
             profile::parse_profile(it, content);
             valid.push_back({it, 1, content, "check"});
         });
     }
-    // Each file may be valid by itself and still claim the services or requests of another.
+    // Profiles that are valid alone may claim the same service or the same requests.
     if (valid.size() > 1) {
-        report.run("profiles", "together", [&] { profile::rule_index{valid}; });
+        runner.run("profiles", "together", [&] { profile::rule_index{valid}; });
     }
 }
 
 int check_all(const options::variables_map& values, std::ostream& out, std::ostream& err) {
-    const file_list settings = files_of(values, "settings");
-    const file_list profiles = files_of(values, "profile");
-    const file_list charts = files_of(values, "chart");
-    reporter report(out, err);
+    const file_list settings = option_files(values, "settings");
+    const file_list profiles = option_files(values, "profile");
+    const file_list charts = option_files(values, "chart");
+    check_runner runner(out, err);
     for (const auto& it : settings) {
-        report.run("settings", it, [&] { settings::load_settings(it); });
+        runner.run("settings", it, [&] { settings::load_settings(it); });
     }
-    check_profiles(profiles, report);
+    check_profiles(profiles, runner);
     for (const auto& it : charts) {
-        report.run("chart", it, [&] { statechart::parse_chart(it, config::read_file(it)); });
+        runner.run("chart", it, [&] { statechart::parse_chart(it, config::read_file(it)); });
     }
     if (settings.empty() && profiles.empty() && charts.empty()) {
         for (const auto& it : statechart::embedded_chart_names()) {
-            report.run("chart", it + " (embedded)", [&] { statechart::embedded_chart(it); });
+            runner.run("chart", it + " (embedded)", [&] { statechart::embedded_chart(it); });
         }
     }
-    return report.exit_code();
+    return runner.exit_code();
 }
 
 } // namespace
