--- a/src/app/explain.cpp
+++ b/src/app/explain.cpp
@@ -29,30 +29,30 @@
     {"deadline", "not enough time was left for an attempt"},
     {"no-owner", "its key had no owner"},
     {"wrong-owner",
-     "the upstream no longer held its key, and there was no allowance or time for another send"},
-    {"shed", "the upstream was full, and there was no allowance or time for another send"},
+     "the upstream no longer owned its key, and no retry budget or time was left for another attempt"},
+    {"shed", "the upstream was full, and no retry budget or time was left for another attempt"},
     {"unreachable", "no connection to the upstream could be made"},
     {"no-configuration", "the entry has had no configuration since its start"},
     {"stopping", "the entry was about to stop"},
-    {"crashes-upstreams", "the same request was at work when three upstreams ended"},
+    {"crashes-upstreams", "three upstreams ended while they processed this request"},
     {"no-route", "no route matches its host and path"},
-    {"no-key", "the service owns keys exclusively and the request names none"},
+    {"no-key", "each key of the service has one owner, and the request has no key"},
     {"headers-too-long", "its headers are longer than the configuration allows"},
     {"body-too-long", "its body is longer than the configuration allows"},
     {"broken", "the connection to the upstream ended before the answer"},
-    {"malformed-answer", "the upstream's answer had no signature, or was no answer"},
-    {"timeout", "no answer of the upstream in time"},
+    {"malformed-answer", "the upstream's answer was malformed or had no signature"},
+    {"timeout", "the upstream did not answer in time"},
     {"gate-lost", "the link to the gate of its upstream failed"},
     {"gate-timeout", "the gate of its upstream did not answer in time"},
 }};
 
-std::string_view meaning_of(const std::string& reason) {
+std::string_view describe_reason(const std::string& reason) {
     const auto* const it = std::find_if(reasons.begin(), reasons.end(),
                                         [&](const auto& known) { return known.reason == reason; });
     return it == reasons.end() ? std::string_view() : it->text;
 }
 
-std::vector<log_line> read_lines(const std::vector<std::string>& files) {
+std::vector<log_line> read_log_files(const std::vector<std::string>& files) {
     std::vector<log_line> result;
     for (const auto& file : files) {
         std::ifstream in(file);
@@ -70,26 +70,26 @@
     return result;
 }
 
-/// What the lines of one request name, and when.
-struct request_story {
-    std::vector<const log_line*> own;
+/// The log lines about one request, the upstreams and processes that they name, and the time they cover.
+struct request_trace {
+    std::vector<const log_line*> request_lines;
     std::set<std::string> upstreams;
     std::set<std::string> processes;
-    log_line::timestamp first;
-    log_line::timestamp last;
+    log_line::timestamp start_time;
+    log_line::timestamp end_time;
 };
 
-request_story story_of(const std::string& id, const std::vector<log_line>& lines) {
-    request_story result;
+request_trace collect_request_trace(const std::string& id, const std::vector<log_line>& lines) {
+    request_trace result;
     for (const auto& it : lines) {
         if (it.event != "request" || it.field("id") != id) {
             continue;
         }
         const std::string age = it.field("age_ms");
         const auto arrived = it.time - milliseconds(age.empty() ? 0 : std::atoll(age.c_str()));
-        result.first = result.own.empty() ? arrived : std::min(result.first, arrived);
-        result.last = it.time;
-        result.own.push_back(&it);
+        result.start_time = result.request_lines.empty() ? arrived : std::min(result.start_time, arrived);
+        result.end_time = it.time;
+        result.request_lines.push_back(&it);
         result.processes.insert(it.process);
         if (const std::string upstream = it.field("upstream"); !upstream.empty()) {
             result.upstreams.insert(upstream);
@@ -102,10 +102,10 @@
     out << fmt::format("  {} {:<24} {}\n", format_time_of_day(line.time), line.process, line.message);
 }
 
-void print_own(const request_story& story, std::ostream& out) {
-    for (const log_line* it : story.own) {
+void print_request_lines(const request_trace& trace, std::ostream& out) {
+    for (const log_line* it : trace.request_lines) {
         print_line(*it, out);
-        if (const auto text = meaning_of(it->field("reason")); !text.empty()) {
+        if (const auto text = describe_reason(it->field("reason")); !text.empty()) {
             out << "    " << text << "\n";
         } else if (it->field("outcome") == "late") {
             const auto age = std::atoll(it->field("age_ms").c_str());
@@ -116,14 +116,14 @@
     }
 }
 
-/// Other requests that failed at the same upstream: many at once show a fault of the upstream.
-void print_neighbours(const std::string& id, const request_story& story, const std::vector<log_line>& lines,
-                      milliseconds window, std::ostream& out) {
+/// Counts other failed requests at the same upstream: many at once indicate that the upstream is at fault.
+void print_other_requests(const std::string& id, const request_trace& trace,
+                          const std::vector<log_line>& lines, milliseconds window, std::ostream& out) {
     std::map<std::string, std::map<std::string, int>> counts;
     for (const auto& it : lines) {
         const std::string upstream = it.field("upstream");
-        if (it.event == "request" && it.field("id") != id && story.upstreams.contains(upstream) &&
-            it.time >= story.first - window && it.time <= story.last + window) {
+        if (it.event == "request" && it.field("id") != id && trace.upstreams.contains(upstream) &&
+            it.time >= trace.start_time - window && it.time <= trace.end_time + window) {
             const std::string reason = it.field("reason");
             ++counts[upstream][reason.empty() ? it.field("outcome") : reason];
         }
@@ -137,25 +137,27 @@
     }
 }
 
-bool concerns(const log_line& line, const request_story& story) {
+bool is_related(const log_line& line, const request_trace& trace) {
     if (line.event == "request") {
         return false;
     }
     for (const char* name : {"upstream", "id"}) {
-        if (story.upstreams.contains(line.field(name))) {
+        if (trace.upstreams.contains(line.field(name))) {
             return true;
         }
     }
-    // Lost and regained dependencies of the processes that decided, and changes that concern everybody.
-    return story.processes.contains(line.process) || line.event == "control leadership" ||
+    // Events of the processes that handled the request, such as a lost gate, and events that affect all
+    // processes.
+    return trace.processes.contains(line.process) || line.event == "control leadership" ||
            line.event == "configuration proposed" || line.event == "disk full";
 }
 
-void print_context(const request_story& story, const std::vector<log_line>& lines, milliseconds window,
+void print_context(const request_trace& trace, const std::vector<log_line>& lines, milliseconds window,
                    std::ostream& out) {
     out << fmt::format("from {} ms before it arrived to {} ms after:\n", window.count(), window.count());
     for (const auto& it : lines) {
-        if (it.time >= story.first - window && it.time <= story.last + window && concerns(it, story)) {
+        if (it.time >= trace.start_time - window && it.time <= trace.end_time + window &&
+            is_related(it, trace)) {
             print_line(it, out);
         }
     }
@@ -165,9 +167,10 @@
 
 int explain_command(const arguments& args, std::ostream& out, std::ostream& err) {
     return run_and_report_errors(err, [&] {
-        options::options_description visible("Joins what the processes logged about one request. Options");
+        options::options_description visible(
+            "Merges the log lines of all processes about one request. Options");
         visible.add_options()("window-ms", options::value<std::uint32_t>()->default_value(2000),
-                              "time before and after the request for which related lines are shown");
+                              "milliseconds before and after the request for which related lines are shown");
         const auto values =
             parse_options(args, "explain ID LOG... [OPTION...]", visible, {"id", "log..."}, out);
         if (!values) {
@@ -177,18 +180,18 @@
             throw invalid_input("command line", "ID LOG...", "an id and at least one log file are needed");
         }
         const auto id = (*values)["id"].as<std::string>();
-        const auto lines = read_lines((*values)["log"].as<std::vector<std::string>>());
-        const auto story = story_of(id, lines);
-        if (story.own.empty()) {
+        const auto lines = read_log_files((*values)["log"].as<std::vector<std::string>>());
+        const auto trace = collect_request_trace(id, lines);
+        if (trace.request_lines.empty()) {
             err << "kingcupseam: no line names the request " << id
                 << "; answers within the target latency are not logged\n";
             return exit_failure;
         }
         const milliseconds window((*values)["window-ms"].as<std::uint32_t>());
         out << "request " << id << "\n";
-        print_own(story, out);
-        print_neighbours(id, story, lines, window, out);
-        print_context(story, lines, window, out);
+        print_request_lines(trace, out);
+        print_other_requests(id, trace, lines, window, out);
+        print_context(trace, lines, window, out);
         return exit_success;
     });
 }
