--- a/src/app/line_diff.cpp
+++ b/src/app/line_diff.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-// Bounds the table of the longest common subsequence; larger changes are shown as one replaced block.
-constexpr std::size_t max_cells = 4'000'000;
+// Bounds the memory of lcs_table; a larger change is shown as one replaced block.
+constexpr std::size_t max_lcs_cells = 4'000'000;
 
 using line_list = std::vector<std::string_view>;
 
-line_list split(std::string_view text) {
+line_list split_lines(std::string_view text) {
     line_list lines;
     while (!text.empty()) {
         const auto n = text.find('\n');
@@ -24,10 +24,10 @@
     return lines;
 }
 
-/// common[i][j]: length of the longest common subsequence of before[i..] and after[j..].
-class common_table {
+/// at(i, j) is the length of the longest common subsequence (LCS) of before[i..] and after[j..].
+class lcs_table {
 public:
-    common_table(const line_list& before, const line_list& after)
+    lcs_table(const line_list& before, const line_list& after)
         : width_(after.size() + 1), cells_((before.size() + 1) * width_, 0) {
         for (std::size_t i = before.size(); i-- > 0;) {
             for (std::size_t j = after.size(); j-- > 0;) {
@@ -43,15 +43,16 @@
     std::vector<std::uint32_t> cells_;
 };
 
+/// Writes changed lines with hunk headers; i and j are indices of lines of the old and the new text.
 class hunk_writer {
 public:
-    void removed(std::size_t i, std::size_t j, std::string_view line) { add('-', i, j, line); }
-    void added(std::size_t i, std::size_t j, std::string_view line) { add('+', i, j, line); }
-    void unchanged() { in_hunk_ = false; }
+    void write_removed(std::size_t i, std::size_t j, std::string_view line) { write_line('-', i, j, line); }
+    void write_added(std::size_t i, std::size_t j, std::string_view line) { write_line('+', i, j, line); }
+    void end_hunk() { in_hunk_ = false; }
     std::string take() { return std::move(out_); }
 
 private:
-    void add(char sign, std::size_t i, std::size_t j, std::string_view line) {
+    void write_line(char sign, std::size_t i, std::size_t j, std::string_view line) {
         if (!in_hunk_) {
             out_ += "@@ -" + std::to_string(i + 1) + " +" + std::to_string(j + 1) + " @@\n";
             in_hunk_ = true;
@@ -65,29 +66,30 @@
     bool in_hunk_ = false;
 };
 
-void write_replaced(const line_list& before, const line_list& after, std::size_t offset, hunk_writer& out) {
+void write_replacement(const line_list& before, const line_list& after, std::size_t offset,
+                       hunk_writer& out) {
     for (std::size_t i = 0; i < before.size(); ++i) {
-        out.removed(offset + i, offset, before[i]);
+        out.write_removed(offset + i, offset, before[i]);
     }
     for (std::size_t j = 0; j < after.size(); ++j) {
-        out.added(offset + before.size(), offset + j, after[j]);
+        out.write_added(offset + before.size(), offset + j, after[j]);
     }
 }
 
 void write_changes(const line_list& before, const line_list& after, std::size_t offset, hunk_writer& out) {
-    const common_table common(before, after);
+    const lcs_table lcs(before, after);
     std::size_t i = 0;
     std::size_t j = 0;
     while (i < before.size() || j < after.size()) {
         if (i < before.size() && j < after.size() && before[i] == after[j]) {
-            out.unchanged();
+            out.end_hunk();
             ++i;
             ++j;
-        } else if (i < before.size() && (j == after.size() || common.at(i + 1, j) >= common.at(i, j + 1))) {
-            out.removed(offset + i, offset + j, before[i]);
+        } else if (i < before.size() && (j == after.size() || lcs.at(i + 1, j) >= lcs.at(i, j + 1))) {
+            out.write_removed(offset + i, offset + j, before[i]);
             ++i;
         } else {
-            out.added(offset + i, offset + j, after[j]);
+            out.write_added(offset + i, offset + j, after[j]);
             ++j;
         }
     }
@@ -96,13 +98,14 @@
 } // namespace
 
 std::string line_diff(const std::string& before, const std::string& after) {
-    line_list left = split(before);
-    line_list right = split(after);
-    std::size_t same = 0;
-    while (same < left.size() && same < right.size() && left[same] == right[same]) {
-        ++same;
+    line_list left = split_lines(before);
+    line_list right = split_lines(after);
+    std::size_t common_prefix = 0;
+    while (common_prefix < left.size() && common_prefix < right.size() &&
+           left[common_prefix] == right[common_prefix]) {
+        ++common_prefix;
     }
-    const auto skip = static_cast<std::ptrdiff_t>(same);
+    const auto skip = static_cast<std::ptrdiff_t>(common_prefix);
     left.erase(left.begin(), left.begin() + skip);
     right.erase(right.begin(), right.begin() + skip);
     while (!left.empty() && !right.empty() && left.back() == right.back()) {
@@ -110,10 +113,10 @@
         right.pop_back();
     }
     hunk_writer out;
-    if ((left.size() + 1) * (right.size() + 1) > max_cells) {
-        write_replaced(left, right, same, out);
+    if ((left.size() + 1) * (right.size() + 1) > max_lcs_cells) {
+        write_replacement(left, right, common_prefix, out);
     } else {
-        write_changes(left, right, same, out);
+        write_changes(left, right, common_prefix, out);
     }
     return out.take();
 }
