--- a/src/app/log_lines.cpp
+++ b/src/app/log_lines.cpp
@@ -17,9 +17,9 @@
     int minutes = 0;
     int seconds = 0;
     int ms = 0;
-    constexpr int parts = 7;
+    constexpr int part_count = 7;
     if (std::sscanf(text.c_str(), "%d-%u-%uT%d:%d:%d.%d", &year, &month, &day, &hours, &minutes, &seconds,
-                    &ms) != parts) {
+                    &ms) != part_count) {
         return std::nullopt;
     }
     const std::chrono::year_month_day date{std::chrono::year(year), std::chrono::month(month),
@@ -28,7 +28,7 @@
            std::chrono::seconds(seconds) + std::chrono::milliseconds(ms);
 }
 
-/// Takes the next word off @p rest; a quoted value is one word together with its key.
+/// Removes the next word from @p rest and returns it without quotes. Quoted spaces do not end a word.
 std::string take_word(std::string_view& rest) {
     std::string word;
     bool quoted = false;
@@ -44,7 +44,8 @@
     return word;
 }
 
-void read_message(log_line& line) {
+/// Splits the message into its event and its fields.
+void parse_message(log_line& line) {
     std::string_view rest = line.message;
     while (!rest.empty()) {
         const std::string word = take_word(rest);
@@ -73,16 +74,16 @@
     if (!object.is_object()) {
         return std::nullopt;
     }
-    const auto text_of = [&](const char* key) {
+    const auto string_value = [&](const char* key) {
         const auto it = object.find(key);
         return it != object.end() && it->is_string() ? it->get<std::string>() : std::string();
     };
-    const auto time = parse_time(text_of("time"));
+    const auto time = parse_time(string_value("time"));
     if (!time) {
         return std::nullopt;
     }
-    log_line result{*time, text_of("level"), text_of("process"), text_of("message"), {}, {}};
-    read_message(result);
+    log_line result{*time, string_value("level"), string_value("process"), string_value("message"), {}, {}};
+    parse_message(result);
     return result;
 }
 
