--- a/src/app/operator_client.h
+++ b/src/app/operator_client.h
@@ -20,7 +20,7 @@
     using error::error;
 };
 
-/// The operator listener answered something other than the protocol.
+/// The operator listener gave an answer that the protocol does not allow.
 class unexpected_answer : public error {
 public:
     using error::error;
@@ -31,13 +31,13 @@
     std::string body;
 };
 
-/// Synchronous client of the operator API (docs/protocol.md). A request goes to the given listeners in turn
-/// until one gives an answer other than 503, so it may arrive more than once: only idempotent requests, or
-/// ones with a change id, may be sent.
+/// Synchronous client of the operator API (docs/protocol.md). Sends a request to the listeners in turn until
+/// one gives an answer other than 503. A request may therefore arrive more than once: it must be idempotent
+/// or carry a change id.
 class operator_client {
 public:
     /// @param listeners at least one
-    /// @param timeout for a request over all listeners and rounds
+    /// @param timeout total time for a request, over all attempts
     operator_client(std::vector<endpoint_address> listeners, std::string token, duration timeout);
 
     /// @throws operator_unreachable, token_refused
