--- a/src/app/operator_client.cpp
+++ b/src/app/operator_client.cpp
@@ -22,19 +22,19 @@
     std::string problem;
 };
 
-using handle = std::unique_ptr<CURL, void (*)(CURL*)>;
-using header_lines = std::unique_ptr<curl_slist, void (*)(curl_slist*)>;
+using curl_handle = std::unique_ptr<CURL, void (*)(CURL*)>;
+using curl_header_list = std::unique_ptr<curl_slist, void (*)(curl_slist*)>;
 
 std::size_t append_answer(char* data, std::size_t size, std::size_t count, void* target) {
     auto& body = *static_cast<std::string*>(target);
     if (body.size() + size * count > max_answer_bytes) {
-        return 0; // libcurl then fails the transfer
+        return 0; // makes libcurl fail the transfer
     }
     body.append(data, size * count);
     return size * count;
 }
 
-long milliseconds(duration value) {
+long to_milliseconds(duration value) {
     return static_cast<long>(std::chrono::duration_cast<std::chrono::milliseconds>(value).count());
 }
 
@@ -52,19 +52,21 @@
 }
 
 void set_limits(CURL* curl, duration limit, std::string& received) {
-    curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, milliseconds(std::min(limit, connect_timeout)));
-    curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, std::max(1L, milliseconds(std::min(limit, attempt_timeout))));
+    curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, to_milliseconds(std::min(limit, connect_timeout)));
+    // 0 would mean no limit.
+    curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS,
+                     std::max(1L, to_milliseconds(std::min(limit, attempt_timeout))));
     curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_answer);
     curl_easy_setopt(curl, CURLOPT_WRITEDATA, &received);
 }
 
 attempt try_once(const std::string& url, const std::string& token, const std::string* body, duration limit) {
-    const handle curl(curl_easy_init(), curl_easy_cleanup);
+    const curl_handle curl(curl_easy_init(), curl_easy_cleanup);
     const std::string authorization = "Authorization: Bearer " + token;
     curl_slist* lines = curl_slist_append(nullptr, authorization.c_str());
     lines = curl_slist_append(lines, "Content-Type: application/toml");
-    lines = curl_slist_append(lines, "Expect:"); // the body is small; no round trip to ask for permission
-    const header_lines headers(lines, curl_slist_free_all);
+    lines = curl_slist_append(lines, "Expect:"); // the body is small: save the round trip of 100-continue
+    const curl_header_list headers(lines, curl_slist_free_all);
     attempt result;
     set_request(curl.get(), url, body, headers.get());
     set_limits(curl.get(), limit, result.answer.body);
@@ -86,9 +88,9 @@
 
 operator_client::operator_client(std::vector<endpoint_address> listeners, std::string token, duration timeout)
     : listeners_(std::move(listeners)), token_(std::move(token)), timeout_(timeout) {
-    static const CURLcode ready = curl_global_init(CURL_GLOBAL_DEFAULT);
-    if (ready != CURLE_OK) {
-        throw operator_unreachable(curl_easy_strerror(ready));
+    static const CURLcode init_code = curl_global_init(CURL_GLOBAL_DEFAULT);
+    if (init_code != CURLE_OK) {
+        throw operator_unreachable(curl_easy_strerror(init_code));
     }
 }
 
@@ -101,25 +103,25 @@
 }
 
 operator_answer operator_client::send(const std::string& target, const std::string* body) const {
-    const time_point end = steady_now() + timeout_;
+    const time_point deadline = steady_now() + timeout_;
     std::string problems;
     while (true) {
         problems.clear();
         for (const auto& it : listeners_) {
-            const duration left = end - steady_now();
-            if (left <= duration::zero()) {
+            const duration remaining = deadline - steady_now();
+            if (remaining <= duration::zero()) {
                 break;
             }
-            const attempt made = try_once("http://" + to_string(it) + target, token_, body, left);
-            if (made.answered && (made.answer.status == 401 || made.answer.status == 403)) {
+            const attempt outcome = try_once("http://" + to_string(it) + target, token_, body, remaining);
+            if (outcome.answered && (outcome.answer.status == 401 || outcome.answer.status == 403)) {
                 throw token_refused(to_string(it) + " refused the operator token");
             }
-            if (made.answered) {
-                return made.answer;
+            if (outcome.answered) {
+                return outcome.answer;
             }
-            problems += (problems.empty() ? "" : "; ") + to_string(it) + ": " + made.problem;
+            problems += (problems.empty() ? "" : "; ") + to_string(it) + ": " + outcome.problem;
         }
-        if (end - steady_now() <= pause_between_rounds) {
+        if (deadline - steady_now() <= pause_between_rounds) {
             throw operator_unreachable("no operator listener answered in time: " + problems);
         }
         std::this_thread::sleep_for(pause_between_rounds);
