--- a/src/app/profile_command.cpp
+++ b/src/app/profile_command.cpp
@@ -20,23 +20,24 @@
 json parse_answer(const operator_answer& answer) {
     json value = json::parse(answer.body, nullptr, false);
     if (value.is_discarded()) {
-        throw unexpected_answer("status " + std::to_string(answer.status) + " with a body that is not JSON");
+        throw unexpected_answer("HTTP status " + std::to_string(answer.status) +
+                                " with a body that is not JSON");
     }
     return value;
 }
 
-std::string text_of(const json& source, const char* key) {
+std::string string_field(const json& source, const char* key) {
     const auto it = source.is_object() ? source.find(key) : source.end();
     if (it == source.end() || !it->is_string()) {
-        throw unexpected_answer(std::string("answer without the text ") + key);
+        throw unexpected_answer(std::string("answer without the string field ") + key);
     }
     return it->get<std::string>();
 }
 
-std::uint64_t version_of(const json& source) {
+std::uint64_t version_field(const json& source) {
     const auto it = source.is_object() ? source.find("version") : source.end();
     if (it == source.end() || !it->is_number_unsigned()) {
-        throw unexpected_answer("answer without a version");
+        throw unexpected_answer("answer without a version number");
     }
     return it->get<std::uint64_t>();
 }
@@ -46,13 +47,13 @@
         throw unexpected_answer(what + " does not exist");
     }
     if (answer.status != 200) {
-        throw unexpected_answer(what + ": status " + std::to_string(answer.status));
+        throw unexpected_answer(what + ": unexpected HTTP status " + std::to_string(answer.status));
     }
     return parse_answer(answer);
 }
 
-/// 128 random bits, so that two operators never draw the same id.
-std::string draw_change_id() {
+/// 128 random bits, so that two operators do not generate the same id.
+std::string generate_change_id() {
     static constexpr std::string_view digits = "0123456789abcdef";
     std::random_device source;
     std::string id;
@@ -62,48 +63,48 @@
     return id;
 }
 
-std::string subject_of(const options::variables_map& values, const std::string& what) {
+std::string required_subject(const options::variables_map& values, const std::string& what) {
     if (values.count("subject") == 0) {
         throw invalid_input("command line", what, "is missing");
     }
     return values["subject"].as<std::string>();
 }
 
-/// Some instances send a problem that already starts with source and field.
-std::string described_problem(const json& value) {
-    const std::string source = text_of(value, "source");
-    std::string problem = text_of(value, "problem");
+/// Formats the problem with its source and field, which some instances already put in front of it.
+std::string describe_problem(const json& value) {
+    const std::string source = string_field(value, "source");
+    std::string problem = string_field(value, "problem");
     if (problem.rfind(source + ": ", 0) == 0) {
         return problem;
     }
-    const std::string field = text_of(value, "field");
+    const std::string field = string_field(value, "field");
     return source + ": " + (field.empty() ? "" : field + ": ") + problem;
 }
 
-int report_acceptance(const operator_answer& answer, const std::string& name, const std::string& change_id,
-                      std::ostream& out, std::ostream& err) {
+int report_accept_result(const operator_answer& answer, const std::string& name, const std::string& change_id,
+                         std::ostream& out, std::ostream& err) {
     const json value = parse_answer(answer);
     switch (answer.status) {
     case 200: {
-        const std::uint64_t version = version_of(value); // before any output, since it may throw
+        const std::uint64_t version = version_field(value); // before any output, since it may throw
         out << "accepted " << name << " version " << version << " change " << change_id << "\n";
         return exit_success;
     }
     case 400:
-        err << "kingcupseam: " << described_problem(value) << "\n";
+        err << "kingcupseam: " << describe_problem(value) << "\n";
         return exit_invalid_input;
     case 409:
-        err << "kingcupseam: conflict: " << name << " version " << version_of(value)
+        err << "kingcupseam: conflict: " << name << " version " << version_field(value)
             << " is in force; compare with `profile diff`, then accept with --base-version "
-            << version_of(value) << "\n";
+            << version_field(value) << "\n";
         return exit_failure;
     default:
-        throw unexpected_answer("status " + std::to_string(answer.status));
+        throw unexpected_answer("unexpected HTTP status " + std::to_string(answer.status));
     }
 }
 
-int accept(const options::variables_map& values, std::ostream& out, std::ostream& err) {
-    const std::string file = subject_of(values, "FILE");
+int accept_profile(const options::variables_map& values, std::ostream& out, std::ostream& err) {
+    const std::string file = required_subject(values, "FILE");
     const std::string content = config::read_file(file);
     const std::string name = profile::parse_profile(file, content).name;
     if (values.count("base-version") == 0) {
@@ -111,72 +112,71 @@
                             "is missing; give the version that you edited, 0 for a new profile");
     }
     const std::string id =
-        values.count("change-id") != 0 ? values["change-id"].as<std::string>() : draw_change_id();
+        values.count("change-id") != 0 ? values["change-id"].as<std::string>() : generate_change_id();
     const std::string target = "/v1/profiles/" + url_escape(name) +
                                "?base_version=" + std::to_string(values["base-version"].as<std::uint64_t>()) +
                                "&change_id=" + url_escape(id);
     try {
-        return report_acceptance(make_operator_client(values).post(target, content), name, id, out, err);
+        return report_accept_result(make_operator_client(values).post(target, content), name, id, out, err);
     } catch (const operator_unreachable&) {
         err << "kingcupseam: it is not known whether the change was accepted; to find out, repeat the "
-               "command "
-               "with --change-id "
+               "command with --change-id "
             << id << "\n";
         throw;
     }
 }
 
-int show(const options::variables_map& values, std::ostream& out, std::ostream& err) {
-    const std::string name = subject_of(values, "NAME");
+int show_profile(const options::variables_map& values, std::ostream& out, std::ostream& err) {
+    const std::string name = required_subject(values, "NAME");
     const json value =
         expect_success(make_operator_client(values).get("/v1/profiles/" + url_escape(name)), name);
-    const std::string content = text_of(value, "content");
-    err << name << " version " << version_of(value) << "\n";
+    const std::string content = string_field(value, "content");
+    err << name << " version " << version_field(value) << "\n";
     out << content;
     return exit_success;
 }
 
-int list(const options::variables_map& values, std::ostream& out) {
+int list_profiles(const options::variables_map& values, std::ostream& out) {
     const json value =
         expect_success(make_operator_client(values).get("/v1/profiles"), "the list of profiles");
     if (!value.is_array()) {
-        throw unexpected_answer("the list of profiles is not a list");
+        throw unexpected_answer("the list of profiles is not a JSON array");
     }
     std::string lines;
     for (const auto& it : value) {
-        lines += text_of(it, "name") + " version " + std::to_string(version_of(it)) + "\n";
+        lines += string_field(it, "name") + " version " + std::to_string(version_field(it)) + "\n";
     }
     out << lines;
     return exit_success;
 }
 
-int diff(const options::variables_map& values, std::ostream& out) {
-    const std::string file = subject_of(values, "FILE");
+int diff_profile(const options::variables_map& values, std::ostream& out) {
+    const std::string file = required_subject(values, "FILE");
     const std::string content = config::read_file(file);
     const std::string name = profile::parse_profile(file, content).name;
     const json value =
         expect_success(make_operator_client(values).get("/v1/profiles/" + url_escape(name)), name);
-    const std::string changes = line_diff(text_of(value, "content"), content);
+    const std::string changes = line_diff(string_field(value, "content"), content);
     if (changes.empty()) {
         return exit_success;
     }
-    out << "--- " << name << " version " << version_of(value) << "\n+++ " << file << "\n" << changes;
+    out << "--- " << name << " version " << version_field(value) << "\n+++ " << file << "\n" << changes;
     return exit_failure;
 }
 
-int dispatch(const options::variables_map& values, std::ostream& out, std::ostream& err) {
+int run_action(const options::variables_map& values, std::ostream& out, std::ostream& err) {
     const std::string action = values.count("action") == 0 ? "" : values["action"].as<std::string>();
     if (action == "accept") {
-        return accept(values, out, err);
+        return accept_profile(values, out, err);
     }
     if (action == "show") {
-        return show(values, out, err);
+        return show_profile(values, out, err);
     }
     if (action == "list") {
-        return list(values, out);
+        return list_profiles(values, out);
     }
     if (action == "diff") {
-        return diff(values, out);
+        return diff_profile(values, out);
     }
     throw invalid_input("command line", "ACTION", "must be accept, show, list or diff");
 }
@@ -185,7 +185,7 @@
 
 int profile_command(const arguments& args, std::ostream& out, std::ostream& err) {
     return run_and_report_errors(err, [&] {
-        options::options_description visible("accept FILE  bring the profile of a file into force\n"
+        options::options_description visible("accept FILE  put the profile in a file into force\n"
                                              "show NAME    print the profile in force\n"
                                              "list         print names and versions\n"
                                              "diff FILE    compare a file with the version in force; exit "
@@ -194,10 +194,10 @@
         visible.add_options()("base-version", options::value<std::uint64_t>(),
                               "accept: the version that was edited, 0 for a new profile")(
             "change-id", options::value<std::string>(),
-            "accept: id of an earlier attempt whose answer was lost; drawn when absent");
+            "accept: id of an earlier attempt whose answer was lost; generated if absent");
         const auto values = parse_options(args, "profile ACTION [FILE|NAME] [OPTION...]", visible,
                                           {"action", "subject"}, out);
-        return values ? dispatch(*values, out, err) : exit_success;
+        return values ? run_action(*values, out, err) : exit_success;
     });
 }
 
