--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -16,7 +16,7 @@
 
 namespace options = boost::program_options;
 
-options::options_description describe() {
+options::options_description serve_options() {
     options::options_description result("kingcupseam serve --config FILE");
     result.add_options()("help", "show this help")("config", options::value<std::string>()->required(),
                                                    "settings file (TOML)");
@@ -35,7 +35,7 @@
 } // namespace
 
 int run_serve(const arguments& args) {
-    const auto description = describe();
+    const auto description = serve_options();
     options::variables_map values;
     try {
         options::store(options::command_line_parser(args).options(description).run(), values);
