--- a/src/app/status.cpp
+++ b/src/app/status.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-// Keeps the order of the keys as the instance sent them.
+// Keeps the keys in the order in which the instance sent them.
 using json = nlohmann::ordered_json;
 using row = std::vector<std::string>;
 
-std::string cell(const json& value) {
+std::string format_cell(const json& value) {
     if (value.is_string()) {
         return value.get<std::string>();
     }
@@ -55,7 +55,7 @@
     for (const auto& it : rows) {
         row line;
         for (const auto& column : columns) {
-            line.push_back(it.contains(column) ? cell(it[column]) : "-");
+            line.push_back(it.contains(column) ? format_cell(it[column]) : "-");
         }
         lines.push_back(std::move(line));
     }
@@ -70,21 +70,22 @@
     }
 }
 
-/// Prints whatever the instance reports, so that an older command shows the fields of a newer instance.
+/// Prints every field that the instance reports, so that an older command also shows those of a newer
+/// instance.
 void print_status(std::ostream& out, const json& status) {
     for (const auto& [key, value] : status.items()) {
         if (is_table(value)) {
             out << key << ":\n";
             print_table(out, value);
         } else {
-            out << key << ": " << cell(value) << "\n";
+            out << key << ": " << format_cell(value) << "\n";
         }
     }
 }
 
 int print_answer(const operator_answer& answer, bool as_json, std::ostream& out) {
     if (answer.status != 200) {
-        throw unexpected_answer("status " + std::to_string(answer.status));
+        throw unexpected_answer("unexpected HTTP status " + std::to_string(answer.status));
     }
     const json status = json::parse(answer.body, nullptr, false);
     if (!status.is_object()) {
