--- a/src/main.cpp
+++ b/src/main.cpp
@@ -27,7 +27,7 @@
     {"check", "validate settings, profiles and state charts", run_check},
     {"profile", "accept, show, list or compare profiles", run_profile},
     {"status", "show owners, gates, groups and instances", run_status},
-    {"explain", "join what the processes logged about one request", run_explain},
+    {"explain", "merge the log lines of all processes about one request", run_explain},
     {"stand-in", "run a model of an upstream, for experiments", run_stand_in},
     {"load", "send load and report service per rank, for experiments", run_load},
 }};
@@ -40,21 +40,21 @@
     std::fputs("\nkingcupseam COMMAND --help lists the options of a command.\n", out);
 }
 
-int dispatch(const arguments& words) {
-    if (words.empty()) {
+int dispatch(const arguments& args) {
+    if (args.empty()) {
         print_usage(stderr);
         return exit_invalid_input;
     }
-    if (words.front() == "--help" || words.front() == "help") {
+    if (args.front() == "--help" || args.front() == "help") {
         print_usage(stdout);
         return exit_success;
     }
     for (const auto& it : commands) {
-        if (it.name == words.front()) {
-            return it.run({words.begin() + 1, words.end()});
+        if (it.name == args.front()) {
+            return it.run({args.begin() + 1, args.end()});
         }
     }
-    std::fprintf(stderr, "kingcupseam: unknown command '%s'\n", words.front().c_str());
+    std::fprintf(stderr, "kingcupseam: unknown command '%s'\n", args.front().c_str());
     print_usage(stderr);
     return exit_invalid_input;
 }
