--- a/tests/app/check_test.cpp
+++ b/tests/app/check_test.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-struct run {
+struct command_result {
     int code = 0;
     std::string out;
     std::string err;
 };
 
-run check(const app::arguments& args) {
+command_result check(const app::arguments& args) {
     std::ostringstream out;
     std::ostringstream err;
     const int code = app::check_command(args, out, err);
@@ -28,7 +28,8 @@
 
 } // namespace
 
-TEST_CASE("an operator checks files before they are used") {
+// Guards against an invalid file that passes the check, or that keeps the other files from being checked.
+TEST_CASE("check reports every file and fails if one is invalid") {
     const temporary_folder folder;
 
     SUBCASE("valid files get one line each and exit code 0") {
@@ -47,7 +48,7 @@
         CHECK(it.code == app::exit_success);
         CHECK(it.out.find("ok chart upstream (embedded)\n") != std::string::npos);
     }
-    SUBCASE("an invalid file names file and key, exits with 2, and does not hide the other files") {
+    SUBCASE("an invalid file is reported with its name and key, and the other files are still checked") {
         const std::string bad = folder.write("bad.toml", "name = \"p\"\nhome_hold_s = -1\n");
         const std::string chart = folder.write("chart.toml", "name = \"c\"\ninitial = \"x\"\n");
         const auto it = check(
@@ -57,25 +58,25 @@
         CHECK(it.err.find(chart + ": initial: there is no state x\n") != std::string::npos);
         CHECK(it.out == "ok profile " + source_folder + "/profiles/navalsig.toml\n");
     }
-    SUBCASE("profiles that are valid alone but claim the same service are refused together") {
+    SUBCASE("two profiles that are valid alone are refused together if they claim the same service") {
         const std::string file = source_folder + "/profiles/navalsig.toml";
         const auto it = check({"--profile", file, "--profile", file});
         CHECK(it.code == app::exit_invalid_input);
         CHECK(it.err.find("registry: is a service of two profiles") != std::string::npos);
     }
-    SUBCASE("a missing file is an error and not skipped") {
+    SUBCASE("a missing file is an error") {
         const auto it = check({"--settings", "/nonexistent/node.toml"});
         CHECK(it.code == app::exit_invalid_input);
         CHECK(it.err.find("/nonexistent/node.toml: open: ") != std::string::npos);
     }
-    SUBCASE("a wrong command line exits with 2, and --help with 0") {
+    SUBCASE("an invalid command line exits with 2, and --help with 0") {
         CHECK(check({"--profiles", "x"}).code == app::exit_invalid_input);
         CHECK(check({"stray"}).code == app::exit_invalid_input);
         const auto help = check({"--help"});
         CHECK(help.code == app::exit_success);
         CHECK(help.out.find("usage: kingcupseam check") == 0);
     }
-    SUBCASE("a diagram of an embedded chart") {
+    SUBCASE("--diagram prints an embedded chart as a Mermaid diagram") {
         CHECK(check({"--diagram", "grant"}).out.rfind("stateDiagram-v2\n    [*] --> none\n", 0) == 0);
         CHECK(check({"--diagram", "unknown"}).code == app::exit_invalid_input);
     }
