--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-struct run {
+struct command_result {
     int code = 0;
     std::string out;
     std::string err;
 };
 
-run explain(const app::arguments& args) {
+command_result explain(const app::arguments& args) {
     std::ostringstream out;
     std::ostringstream err;
     const int code = app::explain_command(args, out, err);
@@ -35,7 +35,8 @@
 
 } // namespace
 
-TEST_CASE("a log line is read with its fields") {
+// Guards against fields that are lost or cut at a quoted space, and other text that is taken for a log line.
+TEST_CASE("a log line is parsed into time, process, event and fields") {
     const auto read = app::parse_log_line(
         R"(  43.5 edge-1 {"time":"2026-07-14T13:11:43.500","level":"warning","process":"edge-1","message":"disk full path=/a problem=\"no space left\""})");
     REQUIRE(read);
@@ -46,7 +47,7 @@
     CHECK(read->field("problem") == "no space left");
     CHECK(read->field("other").empty());
 
-    SUBCASE("anything else is skipped") {
+    SUBCASE("text that is not a log line is skipped") {
         CHECK_FALSE(app::parse_log_line(""));
         CHECK_FALSE(app::parse_log_line("terminate called"));
         CHECK_FALSE(app::parse_log_line("{\"time\":\"2026-07-14T13:11:43.500\""));
@@ -55,9 +56,9 @@
     }
 }
 
-// Guards against an engineer on call who has the id of a failed request and the logs of all processes, and
-// finds the line of one process only.
-TEST_CASE("the lines of all processes about a request are joined") {
+// Guards against output that leaves out the lines of some processes: an engineer on call has the id of a
+// failed request and the logs of all processes.
+TEST_CASE("explain merges the lines of all processes about a request") {
     const test::temporary_folder folder;
     const auto entry = folder.path() / "entry.log";
     const auto control = folder.path() / "control.log";
@@ -74,10 +75,10 @@
                            << line("45.000", "control-1", "upstream registered id=u9 started_ms=5 service=s")
                            << line("59.000", "control-1", "upstream departs id=u1");
     const app::arguments logs{entry.string(), control.string()};
-    const auto about = [&](const std::string& id) { return explain({id, logs[0], logs[1]}); };
+    const auto explain_id = [&](const std::string& id) { return explain({id, logs[0], logs[1]}); };
 
-    SUBCASE("with the meaning of the reason, the upstream's other failures and its return") {
-        const auto result = about("a1");
+    SUBCASE("with the meaning of the reason, the upstream's other failures and its new registration") {
+        const auto result = explain_id("a1");
         CHECK(result.code == app::exit_success);
         CHECK(contains(result.out, "13:11:43.500 entry-1"));
         CHECK(contains(result.out, "the connection to the upstream ended before the answer"));
@@ -87,18 +88,18 @@
         CHECK_FALSE(contains(result.out, "id=u9"));
         CHECK_FALSE(contains(result.out, "departs"));
     }
-    SUBCASE("a late answer tells where the time went") {
-        CHECK(contains(about("a3").out, "31 ms before it was sent, 600 ms from there to the answer"));
+    SUBCASE("a late answer is split into time before and after sending") {
+        CHECK(contains(explain_id("a3").out, "31 ms before it was sent, 600 ms from there to the answer"));
     }
-    SUBCASE("the time around it can be widened") {
+    SUBCASE("--window-ms widens the time around the request") {
         CHECK(contains(explain({"a1", logs[1], logs[0], "--window-ms", "20000"}).out, "departs"));
     }
-    SUBCASE("an id that no line names") {
-        const auto result = about("a4");
+    SUBCASE("an id that no line names is a failure") {
+        const auto result = explain_id("a4");
         CHECK(result.code == app::exit_failure);
         CHECK(contains(result.err, "no line names the request a4"));
     }
-    SUBCASE("a wrong command line or file") {
+    SUBCASE("an invalid command line or a missing file is an error") {
         CHECK(explain({"a1"}).code == app::exit_invalid_input);
         CHECK(explain({"a1", (folder.path() / "missing").string()}).code != app::exit_success);
         CHECK(contains(explain({"--help"}).out, "explain ID LOG..."));
