--- a/tests/app/status_test.cpp
+++ b/tests/app/status_test.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-struct run {
+struct command_result {
     int code = 0;
     std::string out;
     std::string err;
 };
 
-run status(const raw_http_responder& instance, const app::arguments& more = {}) {
+command_result status(const raw_http_responder& instance, const app::arguments& more = {}) {
     std::ostringstream out;
     std::ostringstream err;
     app::arguments args{"--operator", instance.address(), "--token", "0123456789abcdef", "--timeout-s", "1"};
@@ -28,7 +28,7 @@
     return {code, out.str(), err.str()};
 }
 
-raw_http_responder::handler always(int code, const std::string& body) {
+raw_http_responder::handler respond_always(int code, const std::string& body) {
     return [code, body](const raw_request& /*request*/) {
         return raw_http_responder::json_response(code, body);
     };
@@ -39,10 +39,11 @@
 
 } // namespace
 
-TEST_CASE("an operator looks at the state of the system") {
-    const raw_http_responder instance(always(200, body));
+// Guards against fields of the answer that are left out, such as those that only some rows have.
+TEST_CASE("status prints the state of the system as tables or as JSON") {
+    const raw_http_responder instance(respond_always(200, body));
 
-    SUBCASE("as a table with one column per field, also for fields that only some rows have") {
+    SUBCASE("each array of objects becomes a table with a column for every field of any row") {
         const auto it = status(instance);
         CHECK(it.code == app::exit_success);
         CHECK(it.out == "instance: a1\nleader: -\nupstreams:\n"
@@ -52,30 +53,31 @@
                         "groups: []\n");
         CHECK(instance.received().at(0).line() == "GET /v1/status HTTP/1.1");
     }
-    SUBCASE("as JSON for other programs") {
+    SUBCASE("--json prints the answer as JSON") {
         const auto it = status(instance, {"--json"});
         CHECK(nlohmann::json::parse(it.out) == nlohmann::json::parse(body));
     }
 }
 
-TEST_CASE("a status that cannot be had is a failure and prints nothing that looks like one") {
+// Guards against an exit code of 0, or output that looks like a status, without a valid answer.
+TEST_CASE("status fails and prints no status without a valid answer") {
     SUBCASE("answers that are not a status") {
         for (const char* text : {"", "[]", "ok", "{"}) {
-            const raw_http_responder instance(always(200, text));
+            const raw_http_responder instance(respond_always(200, text));
             const auto it = status(instance);
             CHECK(it.code == app::exit_failure);
             CHECK(it.out.empty());
         }
     }
-    SUBCASE("an error status, also one that lasts") {
-        const raw_http_responder broken(always(500, "{}"));
+    SUBCASE("an HTTP error, and a 503 that lasts until the timeout") {
+        const raw_http_responder broken(respond_always(500, "{}"));
         CHECK(status(broken).code == app::exit_failure);
-        const raw_http_responder leaderless(always(503, "{}"));
+        const raw_http_responder leaderless(respond_always(503, "{}"));
         const auto it = status(leaderless);
         CHECK(it.code == app::exit_failure);
         CHECK(it.err.find(leaderless.address() + ": answered 503") != std::string::npos);
     }
-    SUBCASE("no listener at all ends within the timeout") {
+    SUBCASE("if no listener answers, the command ends at its timeout") {
         const raw_http_responder silent([](const raw_request& /*request*/) { return std::string(); });
         const auto start = steady_now();
         CHECK(status(silent).code == app::exit_failure);
