--- a/include/kingcupseam/ownership.h
+++ b/include/kingcupseam/ownership.h
@@ -187,9 +187,10 @@
 /// What the leader of the data centre group knows besides the table.
 struct cluster_view {
     std::set<std::string> live_instances; ///< instances of this data centre, for gates and replicas
-    /// Upper bound of the end of each upstream's grants, over all gates that it has had; absent: no grant is
-    /// live. The bound for a gate is the end of its lease. An earlier end that the gate reports is used only
-    /// for a lost upstream and a gate that has applied the loss: any other gate may renew the grant.
+    /// Latest time at which a grant of each upstream may end, over all gates that it has had; absent: no
+    /// grant is live. For each gate this is the end of the gate's lease. An earlier end that a gate reports
+    /// is used only if the upstream is lost and the gate has applied the loss, since any other gate may renew
+    /// the grant.
     std::map<std::string, time_point> grant_may_live_until;
     /// Highest version of the table row that each upstream has acknowledged to its gate.
     std::map<std::string, epoch_number> acknowledged_version;
@@ -223,8 +224,8 @@
 /// Balances shards with the fewest moves, and distributes gates, standbys and ledger replicas evenly.
 std::unique_ptr<planner> make_fewest_moves_planner(planner_options settings);
 
-/// Leases allow two clocks to drift apart by 2,000 ppm: crystals are off by up to 100 ppm and time daemons
-/// slew by up to 500 ppm, on either side; the rest is a safety margin.
+/// Leases allow two clocks to drift apart by 2,000 ppm: each clock is off by up to 100 ppm because of its
+/// crystal oscillator and by up to 500 ppm while a time daemon slews it; the rest is a safety margin.
 inline constexpr std::int64_t clock_drift_divisor = 500;
 /// Longest time for a dispatched request to reach its upstream: at most 1.5 ms one way inside a data centre,
 /// the rest for queueing in sockets and threads.
@@ -240,7 +241,8 @@
 }
 
 /// The gate's side of the grant protocol with one upstream: which grant to send, and until when the upstream
-/// may hold a live one.
+/// may hold a live one. A grant is sent in a message of its own, called a push, or in the headers of a
+/// request.
 class grant_issuer {
 public:
     struct grant {
@@ -259,18 +261,19 @@
     void assign(epoch_number epoch, epoch_number version);
     void revoke(epoch_number epoch);
     /// @param gate_lease_end end of the lease that this gate holds from the leader; no grant outlasts it
-    /// @returns the grant to send now, if one is due
+    /// @returns the grant to push now, if a push is due
     std::optional<grant> poll(time_point now, time_point gate_lease_end);
     /// Renews the grant with the headers of a request. @returns the grant to send, empty without a usable
     /// token
     std::optional<grant> renew_with_request(time_point now, time_point gate_lease_end);
 
-    /// @param requested when the request was sent whose answer carried the token; may_dispatch() counts the
-    /// lease from it, or from @p received when it is not given
+    /// Stores the token that an answer of the upstream carried; later grants carry it back.
+    /// @param requested when the request that was answered was sent; may_dispatch() counts the lease from
+    /// then, or from @p received when it is not given
     void on_token(const std::string& token, time_point received,
                   std::optional<time_point> requested = std::nullopt);
-    /// Call exactly one of on_accepted, on_shards_missing, on_higher_epoch and on_failure for each grant that
-    /// poll() returned, and none for a grant of renew_with_request().
+    /// For each push, exactly one of on_accepted, on_shards_missing, on_higher_epoch and on_failure must be
+    /// called, and none for a grant of renew_with_request().
     void on_accepted(epoch_number epoch, epoch_number version, time_point now);
     void on_shards_missing(time_point now);
     void on_higher_epoch(epoch_number epoch, time_point now);
@@ -281,8 +284,8 @@
     bool may_dispatch(time_point now) const;
     /// Upper bound of the end of the grants from this gate; time_point{} before the first one.
     time_point may_live_until() const noexcept;
-    /// True once the grants of this gate have ended. A grant of a former gate may still be live then, so only
-    /// acknowledged() counts for cluster_view::acknowledged_version.
+    /// True once a revocation was assigned and the grants of this gate have ended. A grant of a former gate
+    /// may still be live then, so only acknowledged() may be reported as cluster_view::acknowledged_version.
     bool revoked(time_point now) const;
     /// True once the upstream accepted the assigned version or the revocation.
     bool acknowledged() const noexcept;
@@ -309,6 +312,7 @@
     /// Issues a token; the lease of a grant that carries it back counts from @p now. Tokens expire after a
     /// minute.
     std::string issue_token(time_point now);
+    /// Handles a grant. @param granted the keys that it covers; required if @p version differs from version()
     reply receive(epoch_number epoch, epoch_number version, duration lease, const std::string& token,
                   const std::optional<scope>& granted, time_point now);
     grant_refusal check(epoch_number epoch, std::uint32_t shard, const std::string& key,
