--- a/include/kingcupseam/ownership.h
+++ b/include/kingcupseam/ownership.h
@@ -88,7 +88,7 @@
     const upstream_row* owner_of(const std::string& service, std::uint32_t shard,
                                  const std::string& key) const;
     /// Row of the latest incarnation of @p upstream; null when the name is unknown.
-    const upstream_row* find(const std::string& upstream) const;
+    const upstream_row* latest_row(const std::string& upstream) const;
 };
 
 /// The keys that a grant covers: inclusive ranges of shards, plus `hot_keys`, minus `moved_keys`.
--- a/src/app/instance/data_center_leader.cpp
+++ b/src/app/instance/data_center_leader.cpp
@@ -110,7 +110,7 @@
             gate.grants_live_until[{it.name, static_cast<std::uint64_t>(it.incarnation)}] =
                 now + duration(it.lease_left_us) + drift_margin;
         }
-        const auto* row = machine_->current()->find(it.name);
+        const auto* row = machine_->current()->latest_row(it.name);
         if (row == nullptr || row->gate != request.gate.name ||
             row->incarnation != static_cast<std::uint64_t>(it.incarnation)) {
             continue;
@@ -213,7 +213,7 @@
 void data_center_tier::propose_lost_upstreams(const ownership::table& rows, time_point now) {
     for (const auto& row : rows.upstreams) {
         const auto it = upstreams_.find(row.name);
-        if (rows.find(row.name) != &row || it == upstreams_.end() ||
+        if (rows.latest_row(row.name) != &row || it == upstreams_.end() ||
             it->second.incarnation != row.incarnation || it->second.reporting_gate != row.gate) {
             continue;
         }
@@ -272,7 +272,7 @@
         return;
     }
     const auto rows = machine_->current();
-    const auto* row = rows->find(announced.name);
+    const auto* row = rows->latest_row(announced.name);
     ownership::register_upstream change;
     change.row.name = announced.name;
     change.row.incarnation = static_cast<std::uint64_t>(announced.incarnation);
--- a/src/app/instance/gate.cpp
+++ b/src/app/instance/gate.cpp
@@ -101,7 +101,7 @@
         return;
     }
     for (const auto& row : rows->upstreams) {
-        if (rows->find(row.name) != &row) {
+        if (rows->latest_row(row.name) != &row) {
             continue; // an earlier incarnation
         }
         const bool wanted = row.gate == settings_.name && row.condition != ownership::upstream_status::lost;
@@ -132,7 +132,7 @@
 void gate::refresh_direct_gates(const routing_view& view) {
     for (const auto& [data_center, rows] : view.tables) {
         for (const auto& [name, it] : upstreams_) {
-            const auto* row = rows->find(name);
+            const auto* row = rows->latest_row(name);
             if (row != nullptr && row->gate != settings_.name) {
                 it->update(*rows, *row);
             }
@@ -160,7 +160,7 @@
 upstream_gate* gate::create_direct_gate(const std::string& upstream) {
     const auto view = views_.load();
     for (const auto& [data_center, rows] : view->tables) {
-        if (const auto* row = rows->find(upstream)) {
+        if (const auto* row = rows->latest_row(upstream)) {
             auto& added = upstreams_[upstream];
             added = std::make_unique<upstream_gate>(shared_, *row);
             return added.get();
--- a/src/ownership/register_change.cpp
+++ b/src/ownership/register_change.cpp
@@ -72,7 +72,7 @@
 // Acknowledgements are recorded by name. An incarnation that returns after a later one has registered would
 // be credited with the acknowledgements of the later one, so it stays lost.
 bool assignment_change::is_superseded(const upstream_row& announced) const {
-    const auto* latest = rows_.find(announced.name);
+    const auto* latest = rows_.latest_row(announced.name);
     return latest != nullptr && latest->incarnation != announced.incarnation &&
            std::any_of(rows_.upstreams.begin(), rows_.upstreams.end(), [&](const upstream_row& it) {
                return it.name == announced.name && it.incarnation == announced.incarnation;
@@ -83,7 +83,7 @@
 // incarnation of @p name is not reused either: it is needed to recognise that incarnation when it returns.
 std::uint32_t assignment_change::free_index(const std::string& name) const {
     std::vector<bool> used(rows_.upstreams.size());
-    if (const auto* last = rows_.find(name)) {
+    if (const auto* last = rows_.latest_row(name)) {
         used[static_cast<std::size_t>(last - rows_.upstreams.data())] = true;
     }
     for (const auto& [service_name, service] : rows_.services) {
--- a/src/ownership/table.cpp
+++ b/src/ownership/table.cpp
@@ -33,7 +33,7 @@
     return owner.condition == upstream_status::lost ? nullptr : &owner;
 }
 
-const upstream_row* table::find(const std::string& upstream) const {
+const upstream_row* table::latest_row(const std::string& upstream) const {
     const upstream_row* found = nullptr;
     for (const auto& it : upstreams) {
         if (it.name != upstream) {
--- a/tests/ownership/assignment_test.cpp
+++ b/tests/ownership/assignment_test.cpp
@@ -53,16 +53,16 @@
 
     REQUIRE(it.apply(begin_move{"registry", {1}, {}, "b"}));
     CHECK(it.rows().owner_of("registry", 1, "k") == nullptr);
-    CHECK(scope_of(it.rows(), *it.rows().find("a")).shards ==
+    CHECK(scope_of(it.rows(), *it.rows().latest_row("a")).shards ==
           std::vector<std::pair<std::uint32_t, std::uint32_t>>{{0, 0}, {2, 3}});
-    CHECK(it.rows().find("a")->version > before.find("a")->version);
-    CHECK(it.rows().services.at("registry").shards[1].epoch == it.rows().find("a")->version);
+    CHECK(it.rows().latest_row("a")->version > before.latest_row("a")->version);
+    CHECK(it.rows().services.at("registry").shards[1].epoch == it.rows().latest_row("a")->version);
 
     SUBCASE("the next owner gets a higher epoch") {
         REQUIRE(it.apply(complete_move{"registry", {1}, {}, "b"}));
         CHECK(it.rows().owner_of("registry", 1, "k")->name == "b");
-        CHECK(it.rows().find("b")->epoch > it.rows().find("a")->epoch);
-        CHECK(it.rows().find("b")->epoch == make_epoch(3, it.index));
+        CHECK(it.rows().latest_row("b")->epoch > it.rows().latest_row("a")->epoch);
+        CHECK(it.rows().latest_row("b")->epoch == make_epoch(3, it.index));
     }
     SUBCASE(
         "a completion for another target is ignored, so that an old leader cannot complete a changed move") {
@@ -93,27 +93,27 @@
     it.apply(announce("a", 1));
     it.apply(announce("b", 1));
     it.own("a", {0, 1});
-    const auto epoch = it.rows().find("a")->epoch;
+    const auto epoch = it.rows().latest_row("a")->epoch;
     REQUIRE(it.apply(set_condition{"a", 1, upstream_status::lost}));
     CHECK(it.rows().owner_of("registry", 0, "k") == nullptr);
     CHECK(scope_of(it.rows(), it.rows().upstreams[0]).empty());
     CHECK_FALSE(it.apply(set_condition{"a", 1, upstream_status::active}));
 
     SUBCASE("a report from before it registered again does not make it lost again") {
-        const auto lost_epoch = it.rows().find("a")->epoch;
+        const auto lost_epoch = it.rows().latest_row("a")->epoch;
         REQUIRE(it.apply(announce("a", 1)));
         CHECK_FALSE(it.apply(set_condition{"a", 1, upstream_status::lost, lost_epoch}));
-        CHECK(it.apply(set_condition{"a", 1, upstream_status::lost, it.rows().find("a")->epoch}));
+        CHECK(it.apply(set_condition{"a", 1, upstream_status::lost, it.rows().latest_row("a")->epoch}));
     }
     SUBCASE("the same incarnation gets its shards back under a higher epoch") {
         REQUIRE(it.apply(announce("a", 1)));
-        CHECK(it.rows().find("a")->epoch > epoch);
+        CHECK(it.rows().latest_row("a")->epoch > epoch);
         CHECK(it.rows().owner_of("registry", 0, "k")->name == "a");
     }
     SUBCASE("a new incarnation starts without shards; the former one keeps its row until its shards moved") {
         REQUIRE(it.apply(announce("a", 2)));
-        CHECK(it.rows().find("a")->incarnation == 2);
-        CHECK(scope_of(it.rows(), *it.rows().find("a")).empty());
+        CHECK(it.rows().latest_row("a")->incarnation == 2);
+        CHECK(scope_of(it.rows(), *it.rows().latest_row("a")).empty());
         CHECK(it.rows().owner_of("registry", 0, "k") == nullptr);
         it.own("b", {0, 1});
         REQUIRE(it.apply(announce("c", 1)));
@@ -122,7 +122,7 @@
     }
     SUBCASE("a new incarnation replaces the former one even before its loss is noticed") {
         REQUIRE(it.apply(announce("b", 2)));
-        CHECK(it.rows().find("b")->incarnation == 2);
+        CHECK(it.rows().latest_row("b")->incarnation == 2);
         CHECK_FALSE(it.apply(set_condition{"b", 1, upstream_status::draining}));
     }
 }
@@ -136,10 +136,10 @@
     REQUIRE(it.apply(begin_move{"registry", {}, {key}, "b"}));
     CHECK(it.rows().owner_of("registry", 5, key) == nullptr);
     CHECK(it.rows().owner_of("registry", 5, key_in(5) + "x")->name == "a");
-    CHECK(scope_of(it.rows(), *it.rows().find("a")).moved_keys.count(key) == 1);
+    CHECK(scope_of(it.rows(), *it.rows().latest_row("a")).moved_keys.count(key) == 1);
     REQUIRE(it.apply(complete_move{"registry", {}, {key}, "b"}));
     CHECK(it.rows().owner_of("registry", 5, key)->name == "b");
-    CHECK(scope_of(it.rows(), *it.rows().find("b")).hot_keys.count(key) == 1);
+    CHECK(scope_of(it.rows(), *it.rows().latest_row("b")).hot_keys.count(key) == 1);
 
     SUBCASE("the hot key keeps its owner while its shard moves") {
         REQUIRE(it.apply(begin_move{"registry", {5}, {}, "b"}));
@@ -266,9 +266,9 @@
     REQUIRE(it.apply(draining));
     CHECK_FALSE(it.apply(set_condition{"a", 1, upstream_status::active}));
     CHECK_FALSE(it.apply(announce("a", 1)));
-    CHECK(it.rows().find("a")->condition == upstream_status::draining);
+    CHECK(it.rows().latest_row("a")->condition == upstream_status::draining);
     auto active = announce("a", 1);
     active.row.condition = upstream_status::active;
     CHECK(it.apply(active));
-    CHECK(it.rows().find("a")->condition == upstream_status::active);
+    CHECK(it.rows().latest_row("a")->condition == upstream_status::active);
 }
--- a/tests/ownership/planner_test.cpp
+++ b/tests/ownership/planner_test.cpp
@@ -104,13 +104,13 @@
     }
     SUBCASE("the shards of a draining upstream move once it has acknowledged the new version") {
         it.view.grant_may_live_until["a"] = start + 1s;
-        const auto former_version = it.rows().find("a")->version;
+        const auto former_version = it.rows().latest_row("a")->version;
         it.apply(set_condition{"a", 1, upstream_status::draining});
         it.settle();
         CHECK(it.rows().owner_of("s", 0, "") == nullptr);
         CHECK(it.count("a") == 0);
         CHECK(it.count("b") == 24);
-        const auto version = it.rows().find("a")->version;
+        const auto version = it.rows().latest_row("a")->version;
         it.view.acknowledged_version["a"] = former_version;
         it.settle();
         CHECK(it.count("b") == 24);
@@ -121,7 +121,7 @@
     SUBCASE("a new incarnation gets no shards while the former one may hold a grant") {
         it.view.grant_may_live_until["a"] = start + 1s;
         it.announce("a", 2, 2);
-        it.view.acknowledged_version["a"] = it.rows().find("a")->version;
+        it.view.acknowledged_version["a"] = it.rows().latest_row("a")->version;
         it.settle();
         CHECK(it.count("a") == 0);
         CHECK(it.shards_moved == 0);
@@ -215,14 +215,14 @@
     row.condition = upstream_status::active;
     REQUIRE(it.apply(register_upstream{row, 96, {}}));
     it.settle();
-    const auto former = it.rows().find("a")->gate;
+    const auto former = it.rows().latest_row("a")->gate;
     it.view.grant_may_live_until["a"] = start + 500ms;
     it.view.live_instances.erase(former);
     it.settle();
-    CHECK(it.rows().find("a")->gate == former);
+    CHECK(it.rows().latest_row("a")->gate == former);
     it.now = start + 501ms;
     it.settle();
-    CHECK(it.rows().find("a")->gate != former);
+    CHECK(it.rows().latest_row("a")->gate != former);
 }
 
 TEST_CASE("hot keys move without their shard, only where it balances the load, and within their limit") {
--- a/tests/ownership/simulation.cpp
+++ b/tests/ownership/simulation.cpp
@@ -71,7 +71,7 @@
 }
 
 void simulation::cut_off_with_gate(const std::string& name) {
-    const auto* row = rows().find(name);
+    const auto* row = rows().latest_row(name);
     for (const auto& [other, it] : gates_) {
         if (row != nullptr && other != row->gate) {
             cut(name, other);
