--- a/include/kingcupseam/admission.h
+++ b/include/kingcupseam/admission.h
@@ -46,8 +46,8 @@
     queue& operator=(const queue&) = delete;
     virtual ~queue() = default;
 
-    /// Refuses a request at once when, by the work ahead of it and the observed service time, it would miss
-    /// its deadline.
+    /// Adds a request. Refuses it at once if it would miss its deadline, as estimated from the requests ahead
+    /// of it and the observed service time.
     virtual admit_result admit(const queued_request& request, time_point now) = 0;
     /// Next request to dispatch, if a slot is free; requests whose deadline has passed are moved to
     /// @p expired. Call it after every arrival and end of a request, and on a timer: a fractional slot
@@ -63,8 +63,8 @@
     virtual void set_policy(const std::array<rank_policy, rank_count>& ranks) = 0;
     virtual std::uint32_t running() const noexcept = 0;
     virtual std::uint32_t waiting(rank value) const noexcept = 0;
-    /// True when a request of the rank that arrives now would be refused, so that entries can refuse it
-    /// themselves.
+    /// True when a request of the rank that arrives now with @p deadline left would be refused, so that
+    /// entries can refuse it themselves.
     virtual bool saturated(rank value, duration deadline, time_point now) const = 0;
     /// Removes and returns all waiting requests, for handing them over or refusing them.
     virtual std::vector<queued_request> drain() = 0;
@@ -106,7 +106,7 @@
     struct record {
         std::string digest;
         std::uint32_t crashes = 0;
-        bool survived = false; ///< ran alone since the last crash and runs normally until the next one
+        bool survived = false; ///< ran alone without a crash since the last one; runs normally until the next
         time_point expires;
         auto operator<=>(const record&) const = default;
     };
@@ -115,8 +115,9 @@
                                  std::size_t max_records = 4096);
 
     /// Records that an upstream crashed with @p digests in flight. The crash is attributed to a request that
-    /// ran alone, or to the only one that was suspected already. The count of any other stays below the
-    /// limit: it becomes suspected, but is not refused. @returns the changed records, for the other instances
+    /// ran alone, or to the only one that was already suspected. All other counts stay below the limit, so
+    /// these requests become suspected but are not refused.
+    /// @returns the changed records, for the other instances
     std::vector<record> on_crash(const std::vector<std::string>& digests, time_point now);
     /// Records that a suspected request ran alone without a crash. It keeps its crash count but runs normally
     /// again.
