--- a/benchmark/admission_floods.cpp
+++ b/benchmark/admission_floods.cpp
@@ -47,7 +47,7 @@
         const double wait = expected_wait(n);
         const double needed = wait > 0 ? 1.2 * wait + 2 * mean_ : mean_;
         if (!idle && double((request.deadline - now).count()) < needed) {
-            return admit_result::deadline;
+            return admit_result::would_miss_deadline;
         }
         waiting_[n].push_back(request);
         return admit_result::admitted;
--- a/include/kingcupseam/admission.h
+++ b/include/kingcupseam/admission.h
@@ -36,7 +36,7 @@
     duration initial_service_time = std::chrono::milliseconds(10);
 };
 
-enum class admit_result : std::uint8_t { admitted, queue_full, deadline };
+enum class admit_result : std::uint8_t { admitted, queue_full, would_miss_deadline };
 
 /// Queue of the requests for one upstream, held by its gate. Not thread-safe; the caller passes the time.
 class queue {
--- a/src/admission/fifo_queue.cpp
+++ b/src/admission/fifo_queue.cpp
@@ -19,7 +19,7 @@
             return admit_result::queue_full;
         }
         if (request.deadline <= now) {
-            return admit_result::deadline;
+            return admit_result::would_miss_deadline;
         }
         waiting_.push_back(request);
         return admit_result::admitted;
--- a/src/admission/priority_queue.cpp
+++ b/src/admission/priority_queue.cpp
@@ -47,7 +47,7 @@
             return admit_result::queue_full;
         }
         if (!can_meet_deadline(value, request.deadline, now)) {
-            return admit_result::deadline;
+            return admit_result::would_miss_deadline;
         }
         waiting_[index_of(value)].push_back(request);
         return admit_result::admitted;
--- a/src/app/instance/upstream_gate.cpp
+++ b/src/app/instance/upstream_gate.cpp
@@ -130,7 +130,7 @@
     case admission::admit_result::queue_full:
         refuse(request, refusal::queue_full, std::chrono::seconds(1));
         break;
-    case admission::admit_result::deadline:
+    case admission::admit_result::would_miss_deadline:
         refuse(request, refusal::deadline);
         break;
     }
--- a/tests/admission/queue_test.cpp
+++ b/tests/admission/queue_test.cpp
@@ -106,7 +106,8 @@
         }
         while (next_id(*tested)) {
         }
-        CHECK(tested->admit(request(100, rank::deferrable, 50ms), start) == admit_result::deadline);
+        CHECK(tested->admit(request(100, rank::deferrable, 50ms), start) ==
+              admit_result::would_miss_deadline);
         CHECK(tested->saturated(rank::deferrable, 50ms, start));
         CHECK(tested->admit(request(101, rank::urgent, 50ms), start) == admit_result::admitted);
     }
@@ -117,7 +118,8 @@
         while (next_id(*tested)) {
         }
         CHECK(tested->admit(request(300, rank::standard, 100ms), start) == admit_result::admitted);
-        CHECK(tested->admit(request(301, rank::deferrable, 100ms), start) == admit_result::deadline);
+        CHECK(tested->admit(request(301, rank::deferrable, 100ms), start) ==
+              admit_result::would_miss_deadline);
     }
     SUBCASE("a lasting slowdown saturates the queue, a few outliers do not") {
         const auto run = [&](std::uint64_t id, duration service) {
@@ -143,7 +145,7 @@
         slow.initial_service_time = 10s;
         const auto cold = make_priority_queue_with_shares(slow);
         CHECK(cold->admit(request(1, rank::urgent, 50ms), start) == admit_result::admitted);
-        CHECK(cold->admit(request(2, rank::urgent, 50ms), start) == admit_result::deadline);
+        CHECK(cold->admit(request(2, rank::urgent, 50ms), start) == admit_result::would_miss_deadline);
     }
     SUBCASE("expired requests are returned at dispatch, also while no slot is usable") {
         tested->admit(request(1, rank::urgent, 20ms), start);
@@ -164,7 +166,7 @@
         tested->admit(request(1, rank::urgent), start);
         next_id(*tested);
         CHECK(tested->admit(request(2, rank::urgent, 11ms), start) == admit_result::admitted);
-        CHECK(tested->admit(request(3, rank::urgent, 11ms), start) == admit_result::deadline);
+        CHECK(tested->admit(request(3, rank::urgent, 11ms), start) == admit_result::would_miss_deadline);
     }
     SUBCASE("cancel and drain remove waiting requests only") {
         tested->admit(request(1, rank::urgent), start);
