--- a/include/kingcupseam/ledger.h
+++ b/include/kingcupseam/ledger.h
@@ -12,9 +12,13 @@
 
 namespace kingcupseam::ledger {
 
-/// State of an attempt. `begun`: may run or have run; `answered`: has run, with the recorded answer;
-/// `not_run`: has not run and will not.
-enum class record_state : std::uint8_t { absent, begun, answered, not_run };
+/// State of an attempt to run the request of a key.
+enum class record_state : std::uint8_t {
+    absent,
+    begun,    ///< may be running or have run
+    answered, ///< has run, and its answer is recorded
+    not_run   ///< has not run and will not
+};
 
 /// State of one idempotency key in the ledger of its shard.
 struct record {
@@ -26,7 +30,7 @@
     record_state state = record_state::begun;
     int status = 0;     ///< HTTP status of a recorded answer
     std::string answer; ///< body and content type of a recorded answer, at most max_answer_bytes
-    std::string digest; ///< of method, target and body, to refuse another request with the same key
+    std::string digest; ///< digest of method, target and body, to refuse another request with the same key
     auto operator<=>(const record&) const = default;
 };
 
@@ -95,20 +99,22 @@
     std::shared_ptr<state> state_;
 };
 
-/// What the gate must do with an at-most-once request.
+/// What the gate must do with an at-most-once request. "Report" means the outcome that the caller gets:
+/// `not-run` or `unknown`.
 enum class verdict : std::uint8_t {
     dispatch,    ///< `begun` is recorded at a majority: run the request now
     wait,        ///< never passed to on_decision: the decision on a duplicate is deferred until the in-flight
                  ///< request at this gate ends, and is then `answer`, `in_doubt` or `unavailable`
     answer,      ///< return the recorded answer
-    in_doubt,    ///< an earlier attempt may have run: `unknown`. Without a record in decision::known: the key
-                 ///< may have run, since no majority let this gate read the window
-    conflict,    ///< the key was used for another request: `not-run`
+    in_doubt,    ///< report `unknown`: an earlier attempt may have run, as decision::known shows. Without
+                 ///< decision::known, no majority let this gate read the window
+    conflict,    ///< report `not-run`: the key was used for another request
     unavailable, ///< the window shows no run, and either no majority recorded the attempt or the upstream did
-                 ///< not start it. `not-run` while the gate's lease of the epoch in decision::known is valid,
-                 ///< else `unknown`, since another gate may have run the key
+                 ///< not start it. Report `not-run` while the gate's lease of the epoch in decision::known is
+                 ///< valid, else `unknown`, since another gate may have run the key
     stale,       ///< a replica knows a higher epoch: this gate did not run the request and will not, but its
-                 ///< successor may have. Refresh the table and forward the request; `unknown` if that fails
+                 ///< successor may have. Refresh the table and forward the request; report `unknown` if that
+                 ///< fails
 };
 
 struct decision {
@@ -129,9 +135,9 @@
 /// and no socket.
 ///
 /// `unavailable` and `stale` mean that this gate did not run the request, although a `begun` record may
-/// remain at a minority: only the writer that made a record may dispatch it, and it has given up that
-/// attempt. The remaining record can only make later attempts `in_doubt`. The writer follows it with a
-/// `not_run` record, so that a resend can usually begin again.
+/// remain at a minority: only the writer that made a record may dispatch its attempt, and this one has given
+/// it up. The remaining record can only make later attempts `in_doubt`. The writer also sends a `not_run`
+/// record to replace it, so that a resend can usually begin again.
 class writer {
 public:
     using on_decision = std::function<void(const decision&)>;
@@ -142,8 +148,9 @@
 
     /// A longer retention also applies to existing keys; a shorter one only to new keys.
     void set_retention(duration retention);
-    /// Records that a request is about to run. Fences the shard and reads its window first, unless done
-    /// before at the epoch of @p wanted with these replicas. An epoch belongs to one incarnation of one gate.
+    /// Records that a request is about to run. Fences the shard and reads its window first, unless it has
+    /// done so at the epoch of @p wanted with these replicas. An epoch belongs to one incarnation of one
+    /// gate.
     /// @param replicas names of the shard's ledger replicas; a replaced replica needs a new epoch
     /// @returns requests to send; @p done is called once, possibly before this returns
     std::vector<replica_request> begin(const record& wanted, const std::vector<std::string>& replicas,
@@ -171,9 +178,10 @@
                                                 const fence_result& reply, time_point now);
     std::vector<replica_request> on_replica_failed(std::uint64_t operation, const std::string& from,
                                                    time_point now);
-    /// Ends operations older than the timeout as failed. Results are resent up to twice before.
+    /// Ends operations older than the timeout as failed. Writes of results are resent up to twice before
+    /// that.
     std::vector<replica_request> tick(time_point now);
-    /// Number of operations that wait for replies.
+    /// Number of operations (fences and writes) that wait for replies.
     std::size_t pending() const noexcept;
 
 private:
@@ -181,11 +189,12 @@
     std::shared_ptr<state> state_;
 };
 
-/// Age up to which a key is guaranteed to be in the windows. After the retention is made longer, this age
-/// grows with time up to the new retention, since records dropped under the shorter one are gone.
+/// Age up to which the record of a key is guaranteed to be in the windows. After the retention is made
+/// longer, this age grows with time up to the new retention, since records dropped under the shorter one are
+/// gone.
 class guaranteed_retention {
 public:
-    /// @param slack time within which all replicas apply a new profile
+    /// @param slack time within which all replicas apply a changed retention
     explicit guaranteed_retention(duration slack) : slack_(slack) {}
     void set_retention(duration retention, time_point now);
     duration at(time_point now) const;
