--- a/include/kingcupseam/ledger.h
+++ b/include/kingcupseam/ledger.h
@@ -160,8 +160,8 @@
     /// @param done called once, possibly before this returns, with `answer`, `in_doubt` (an attempt may run
     /// or have run, or the window cannot be read), `conflict`, `stale` or `unavailable` (the window shows no
     /// run)
-    std::vector<replica_request> check(const record& wanted, const std::vector<std::string>& replicas,
-                                       const on_decision& done, time_point now);
+    std::vector<replica_request> look_up(const record& wanted, const std::vector<std::string>& replicas,
+                                         const on_decision& done, time_point now);
     /// Records the result of a dispatched request: `answered`, or `not_run` if the upstream confirmed that it
     /// did not start. Waiting duplicates get it at once, later resends get it from the window. A result for a
     /// key that this writer did not dispatch is ignored.
--- a/src/app/instance/ledger_host.cpp
+++ b/src/app/instance/ledger_host.cpp
@@ -90,12 +90,12 @@
     send(writer_.begin(wanted, replicas_of(wanted.shard), done, steady_now()));
 }
 
-void ledger_host::check(const ledger::record& wanted, const ledger::writer::on_decision& done) {
+void ledger_host::look_up(const ledger::record& wanted, const ledger::writer::on_decision& done) {
     if (may_predate_reset(wanted)) {
         done({ledger::verdict::in_doubt, std::nullopt});
         return;
     }
-    send(writer_.check(wanted, replicas_of(wanted.shard), done, steady_now()));
+    send(writer_.look_up(wanted, replicas_of(wanted.shard), done, steady_now()));
 }
 
 void ledger_host::finish(const ledger::record& result) {
--- a/src/app/instance/ledger_host.h
+++ b/src/app/instance/ledger_host.h
@@ -28,8 +28,8 @@
     std::set<std::uint32_t> installed_groups() const;
 
     void begin(const ledger::record& wanted, const ledger::writer::on_decision& done);
-    /// Looks a key up in the window without recording anything; see ledger::writer::check().
-    void check(const ledger::record& wanted, const ledger::writer::on_decision& done);
+    /// Looks a key up in the window without recording anything; see ledger::writer::look_up().
+    void look_up(const ledger::record& wanted, const ledger::writer::on_decision& done);
     void finish(const ledger::record& result);
     void abandon(const std::string& service, std::uint32_t shard, const std::string& key);
     ledger::writer& writer() noexcept { return writer_; }
--- a/src/app/instance/upstream_gate.cpp
+++ b/src/app/instance/upstream_gate.cpp
@@ -212,12 +212,12 @@
         finish(request, refused);
         return;
     }
-    shared_.ledger.check(record_of(*request, ledger::record_state::begun),
-                         [this, alive = alive_, request, refused](const ledger::decision& found) {
-                             if (*alive) {
-                                 on_ledger_check(request, found, refused);
-                             }
-                         });
+    shared_.ledger.look_up(record_of(*request, ledger::record_state::begun),
+                           [this, alive = alive_, request, refused](const ledger::decision& found) {
+                               if (*alive) {
+                                   on_ledger_check(request, found, refused);
+                               }
+                           });
 }
 
 void upstream_gate::finish(const gate_request_ptr& request, wire::ForwardResponse response) {
--- a/src/ledger/writer.cpp
+++ b/src/ledger/writer.cpp
@@ -18,8 +18,8 @@
     return out.run();
 }
 
-std::vector<replica_request> writer::check(const record& wanted, const std::vector<std::string>& replicas,
-                                           const on_decision& done, time_point now) {
+std::vector<replica_request> writer::look_up(const record& wanted, const std::vector<std::string>& replicas,
+                                             const on_decision& done, time_point now) {
     state::effects out;
     state_->now = now;
     state_->drop_expired_keys();
--- a/src/ledger/writer_requests.cpp
+++ b/src/ledger/writer_requests.cpp
@@ -1,4 +1,4 @@
-// Calls of the gate: begin, check, finish and abandon.
+// Calls of the gate: begin, look_up, finish and abandon.
 #include "ledger/order.h"
 #include "ledger/writer_state.h"
 
@@ -63,7 +63,7 @@
 
 void writer::state::process_request(gate_shard& shard, const shard_id& id, const waiting_begin& request,
                                     effects& out) {
-    if (request.check_only) {
+    if (request.lookup_only) {
         report_known(shard, request, out);
         return;
     }
--- a/src/ledger/writer_state.h
+++ b/src/ledger/writer_state.h
@@ -24,11 +24,11 @@
     time_point expires;
 };
 
-/// A begin() or check() call, which may have to wait until its shard is fenced.
+/// A begin() or look_up() call, which may have to wait until its shard is fenced.
 struct waiting_begin {
     record wanted;
     writer::on_decision done;
-    bool check_only = false; ///< of check(): records nothing
+    bool lookup_only = false; ///< of look_up(): records nothing
 };
 
 /// A shard of which this process is or was the gate.
--- a/tests/ledger/writer_test.cpp
+++ b/tests/ledger/writer_test.cpp
@@ -226,7 +226,7 @@
     fenced_writer it;
     const auto check = [&](const record& wanted) {
         it.decisions.clear();
-        return it.tested.check(
+        return it.tested.look_up(
             wanted, names, [&](const decision& found) { it.decisions.push_back(found); }, start);
     };
     const auto checked_at_once = [&](const record& wanted) {
@@ -275,7 +275,7 @@
         CHECK(fence[0].fence);
         CHECK(it.decisions.empty());
         int second_decisions = 0;
-        const auto second = it.tested.check(
+        const auto second = it.tested.look_up(
             make("k2", 6), names, [&](const decision&) { ++second_decisions; }, start);
         CHECK(second.empty());
         SUBCASE("an earlier attempt in the window of one replica of the majority is found") {
