--- a/src/ledger/writer.cpp
+++ b/src/ledger/writer.cpp
@@ -14,7 +14,7 @@
     state::effects out;
     state_->now = now;
     state_->drop_expired_keys();
-    state_->begin({wanted, done, false}, replicas, out);
+    state_->process_request({wanted, done, false}, replicas, out);
     return out.run();
 }
 
@@ -23,7 +23,7 @@
     state::effects out;
     state_->now = now;
     state_->drop_expired_keys();
-    state_->begin({wanted, done, true}, replicas, out);
+    state_->process_request({wanted, done, true}, replicas, out);
     return out.run();
 }
 
--- a/src/ledger/writer_replies.cpp
+++ b/src/ledger/writer_replies.cpp
@@ -28,10 +28,10 @@
     return true;
 }
 
-operation& writer::state::start_operation(operation wanted, effects& out) {
-    wanted.id = ++last_operation_;
-    wanted.started = now;
-    operation& stored = operations.emplace(wanted.id, std::move(wanted)).first->second;
+operation& writer::state::start_operation(operation new_operation, effects& out) {
+    new_operation.id = ++last_operation_;
+    new_operation.started = now;
+    operation& stored = operations.emplace(new_operation.id, std::move(new_operation)).first->second;
     send(stored, out);
     if (stored.replicas.empty()) {
         evaluate(stored, out);
@@ -39,29 +39,29 @@
     return stored;
 }
 
-void writer::state::send(const operation& wanted, effects& out) const {
-    for (const auto& it : wanted.replicas) {
-        if (wanted.replied.contains(it)) {
+void writer::state::send(const operation& to_send, effects& out) const {
+    for (const auto& it : to_send.replicas) {
+        if (to_send.replied.contains(it)) {
             continue;
         }
-        replica_request message{wanted.id, it, {}, {}, wanted.epoch};
-        if (wanted.kind == operation::type::fence) {
-            message.fence = wanted.shard;
+        replica_request message{to_send.id, it, {}, {}, to_send.epoch};
+        if (to_send.kind == operation::type::fence) {
+            message.fence = to_send.shard;
         } else {
-            message.write = wanted.wanted;
+            message.write = to_send.to_write;
         }
         out.messages.push_back(std::move(message));
     }
 }
 
 void writer::state::start_fence(gate_shard& shard, const shard_id& id, effects& out) {
-    operation wanted;
-    wanted.kind = operation::type::fence;
-    wanted.shard = id;
-    wanted.epoch = shard.epoch;
-    wanted.replicas = shard.replicas;
+    operation new_operation;
+    new_operation.kind = operation::type::fence;
+    new_operation.shard = id;
+    new_operation.epoch = shard.epoch;
+    new_operation.replicas = shard.replicas;
     shard.fence_operation = last_operation_ + 1;
-    start_operation(std::move(wanted), out);
+    start_operation(std::move(new_operation), out);
 }
 
 void writer::state::on_write_reply(std::uint64_t id, const std::string& from, const write_result& reply,
@@ -158,7 +158,7 @@
 
 void writer::state::evaluate_begin(operation& current, effects& out) {
     if (current.has_majority()) {
-        key_entry& entry = shards.at(current.shard).keys.at(current.wanted.key);
+        key_entry& entry = shards.at(current.shard).keys.at(current.to_write.key);
         entry.stage = phase::dispatched;
         out.decide(entry.waiting.front(), verdict::dispatch, entry.known);
         entry.waiting.erase(entry.waiting.begin());
@@ -171,9 +171,9 @@
     const operation failed = std::move(current);
     operations.erase(failed.id);
     if (failed.begun_elsewhere) {
-        settle_begin(failed, verdict::in_doubt, failed.wanted, out);
+        settle_begin(failed, verdict::in_doubt, failed.to_write, out);
     } else {
-        record given_up = failed.wanted;
+        record given_up = failed.to_write;
         given_up.state = record_state::not_run;
         settle_begin(failed, verdict::unavailable, given_up, out);
         clean_up(failed, out);
@@ -183,31 +183,31 @@
 void writer::state::end_with_existing(operation& current, const record& existing, effects& out) {
     const operation ended = std::move(current);
     operations.erase(ended.id);
-    const bool same = existing.digest == ended.wanted.digest;
+    const bool same = existing.digest == ended.to_write.digest;
     settle_begin(ended, same ? verdict::answer : verdict::conflict, existing, out);
 }
 
 void writer::state::settle_begin(const operation& current, verdict result, const record& known,
                                  effects& out) {
     gate_shard& shard = shards.at(current.shard);
-    key_entry& entry = shard.keys.at(current.wanted.key);
+    key_entry& entry = shard.keys.at(current.to_write.key);
     entry.known = known;
     entry.stage = phase::settled;
     for (const auto& waiter : std::exchange(entry.waiting, {})) {
         out.decide(waiter, result, result == verdict::conflict ? std::nullopt : std::optional(known));
     }
-    schedule_expiry(shard, current.shard, current.wanted.key);
+    schedule_expiry(shard, current.shard, current.to_write.key);
 }
 
 void writer::state::clean_up(const operation& failed, effects& out) {
-    operation wanted;
-    wanted.kind = operation::type::cleanup;
-    wanted.shard = failed.shard;
-    wanted.epoch = failed.epoch;
-    wanted.wanted = failed.wanted;
-    wanted.wanted.state = record_state::not_run;
-    wanted.replicas = failed.replicas;
-    start_operation(std::move(wanted), out);
+    operation new_operation;
+    new_operation.kind = operation::type::cleanup;
+    new_operation.shard = failed.shard;
+    new_operation.epoch = failed.epoch;
+    new_operation.to_write = failed.to_write;
+    new_operation.to_write.state = record_state::not_run;
+    new_operation.replicas = failed.replicas;
+    start_operation(std::move(new_operation), out);
 }
 
 void writer::state::end_as_stale(operation& current, effects& out) {
@@ -218,7 +218,7 @@
         reset_fence(shard, verdict::stale, out);
         return;
     }
-    record given_up = ended.wanted;
+    record given_up = ended.to_write;
     given_up.state = record_state::not_run;
     settle_begin(ended, verdict::stale, given_up, out);
     clean_up(ended, out);
@@ -232,15 +232,15 @@
     operations.erase(ended.id);
     const bool recorded = ended.has_majority();
     auto& keys = shards.at(ended.shard).keys;
-    const auto it = keys.find(ended.wanted.key);
+    const auto it = keys.find(ended.to_write.key);
     // An answer that the replicas do not store is dropped here too, so that their limits also bound this
     // memory.
-    if (!recorded && ended.wanted.state == record_state::answered && it != keys.end() &&
+    if (!recorded && ended.to_write.state == record_state::answered && it != keys.end() &&
         it->second.stage == phase::settled) {
         it->second.known.state = record_state::begun;
         it->second.known.answer.clear();
     }
-    out.calls.emplace_back([done = ended.done, recorded] { done(recorded); });
+    out.callbacks.emplace_back([done = ended.done, recorded] { done(recorded); });
 }
 
 void writer::state::evaluate_fence(operation& current, effects& out) {
@@ -264,7 +264,7 @@
         shard.fenced = true;
         shard.fence_operation = 0;
         for (const auto& it : std::exchange(shard.waiting_for_fence, {})) {
-            process_request(shard, id, it, out);
+            process_fenced_request(shard, id, it, out);
         }
     }
 }
--- a/src/ledger/writer_requests.cpp
+++ b/src/ledger/writer_requests.cpp
@@ -9,18 +9,18 @@
 using phase = key_entry::phase;
 
 void writer::state::effects::decide(const on_decision& done, verdict result, std::optional<record> known) {
-    calls.emplace_back([done, outcome = decision{result, std::move(known)}] { done(outcome); });
+    callbacks.emplace_back([done, outcome = decision{result, std::move(known)}] { done(outcome); });
 }
 
 std::vector<replica_request> writer::state::effects::run() {
-    for (const auto& call : calls) {
+    for (const auto& call : callbacks) {
         call();
     }
     return std::move(messages);
 }
 
-void writer::state::begin(const waiting_begin& request, const std::vector<std::string>& replicas,
-                          effects& out) {
+void writer::state::process_request(const key_request& request, const std::vector<std::string>& replicas,
+                                    effects& out) {
     const shard_id id{request.wanted.service, request.wanted.shard};
     gate_shard& shard = shards[id];
     if (request.wanted.epoch < shard.epoch) {
@@ -31,7 +31,7 @@
         change_configuration(shard, id, request.wanted.epoch, replicas, out);
     }
     if (shard.fenced) {
-        process_request(shard, id, request, out);
+        process_fenced_request(shard, id, request, out);
         return;
     }
     shard.waiting_for_fence.push_back(request);
@@ -42,14 +42,14 @@
 
 void writer::state::change_configuration(gate_shard& shard, const shard_id& id, std::uint64_t epoch,
                                          const std::vector<std::string>& replicas, effects& out) {
-    // Results of dispatched requests may still be recorded; all other operations end.
+    // Writes of results and cleanups continue; fences and begins of the former configuration end.
     for (auto it = operations.begin(); it != operations.end();) {
         const operation current = it->second;
         const bool obsolete = current.shard == id && (current.kind == operation::type::begin ||
                                                       current.kind == operation::type::fence);
         it = obsolete ? operations.erase(it) : std::next(it);
         if (obsolete && current.kind == operation::type::begin) {
-            settle_begin(current, verdict::stale, current.wanted, out);
+            settle_begin(current, verdict::stale, current.to_write, out);
         }
     }
     reset_fence(shard, verdict::stale, out);
@@ -61,10 +61,10 @@
     shard.fenced = false;
 }
 
-void writer::state::process_request(gate_shard& shard, const shard_id& id, const waiting_begin& request,
-                                    effects& out) {
+void writer::state::process_fenced_request(gate_shard& shard, const shard_id& id, const key_request& request,
+                                           effects& out) {
     if (request.lookup_only) {
-        report_known(shard, request, out);
+        decide_lookup(shard, request, out);
         return;
     }
     const auto it = shard.keys.find(request.wanted.key);
@@ -87,7 +87,7 @@
     }
 }
 
-void writer::state::report_known(const gate_shard& shard, const waiting_begin& request, effects& out) {
+void writer::state::decide_lookup(const gate_shard& shard, const key_request& request, effects& out) {
     const auto it = shard.keys.find(request.wanted.key);
     if (it == shard.keys.end()) {
         out.decide(request.done, verdict::unavailable);
@@ -106,7 +106,7 @@
     }
 }
 
-void writer::state::start_begin(gate_shard& shard, const shard_id& id, const waiting_begin& request,
+void writer::state::start_begin(gate_shard& shard, const shard_id& id, const key_request& request,
                                 effects& out) {
     // Attempt numbers start from the clock, so that they stay distinct if a restarted process gets its old
     // epoch again.
@@ -118,13 +118,13 @@
     entry.known.attempt = last_attempt_;
     entry.stage = phase::writing;
     entry.waiting = {request.done};
-    operation wanted;
-    wanted.kind = operation::type::begin;
-    wanted.shard = id;
-    wanted.epoch = shard.epoch;
-    wanted.wanted = entry.known;
-    wanted.replicas = shard.replicas;
-    start_operation(std::move(wanted), out);
+    operation new_operation;
+    new_operation.kind = operation::type::begin;
+    new_operation.shard = id;
+    new_operation.epoch = shard.epoch;
+    new_operation.to_write = entry.known;
+    new_operation.replicas = shard.replicas;
+    start_operation(std::move(new_operation), out);
 }
 
 void writer::state::finish(const record& result, const on_done& done, effects& out) {
@@ -135,7 +135,7 @@
         shard == shards.end() ? decltype(shard->second.keys.end()){} : shard->second.keys.find(result.key);
     if (!is_result || shard == shards.end() || it == shard->second.keys.end() ||
         (it->second.stage != phase::dispatched && it->second.stage != phase::abandoned)) {
-        out.calls.emplace_back([done] { done(false); });
+        out.callbacks.emplace_back([done] { done(false); });
         return;
     }
     key_entry& entry = it->second;
@@ -152,15 +152,15 @@
         out.decide(waiter, duplicate_verdict, entry.known);
     }
     schedule_expiry(shard->second, id, result.key);
-    operation wanted;
-    wanted.kind = operation::type::finish;
-    wanted.shard = id;
-    wanted.epoch = entry.known.epoch;
-    wanted.wanted = entry.known;
-    wanted.replicas = shard->second.replicas;
-    wanted.resends_left = 2;
-    wanted.done = done;
-    start_operation(std::move(wanted), out);
+    operation new_operation;
+    new_operation.kind = operation::type::finish;
+    new_operation.shard = id;
+    new_operation.epoch = entry.known.epoch;
+    new_operation.to_write = entry.known;
+    new_operation.replicas = shard->second.replicas;
+    new_operation.resends_left = 2;
+    new_operation.done = done;
+    start_operation(std::move(new_operation), out);
 }
 
 void writer::state::abandon(const shard_id& id, const std::string& key, effects& out) {
