--- a/src/ledger/replica.cpp
+++ b/src/ledger/replica.cpp
@@ -1,4 +1,4 @@
-#include "ledger/order.h"
+#include "ledger/record_order.h"
 
 #include <deque>
 #include <unordered_map>
--- a/src/ledger/writer_replies.cpp
+++ b/src/ledger/writer_replies.cpp
@@ -1,5 +1,5 @@
 // Operations: sending, counting replies to a majority, and timeouts.
-#include "ledger/order.h"
+#include "ledger/record_order.h"
 #include "ledger/writer_state.h"
 
 #include <algorithm>
--- a/src/ledger/writer_requests.cpp
+++ b/src/ledger/writer_requests.cpp
@@ -1,5 +1,5 @@
 // Calls of the gate: begin, look_up, finish and abandon.
-#include "ledger/order.h"
+#include "ledger/record_order.h"
 #include "ledger/writer_state.h"
 
 #include <utility>
