--- a/src/ledger/replica.cpp
+++ b/src/ledger/replica.cpp
@@ -24,19 +24,22 @@
     window_map records;
 };
 
-/// Refers to a record in a shard's map, whose nodes do not move. A record is erased only through the entry
-/// with its current expiry time, so `key` stays valid.
+/// When a record may be dropped. Refers to a record in a shard's map, whose nodes do not move. A record is
+/// erased only through the expiry with its current time, so `key` stays valid.
 struct expiry {
     time_point at;
-    window_map* owner = nullptr;
+    window_map* shard_records = nullptr;
     const std::string* key = nullptr;
 };
 
+// Up to 15 characters are stored inside the string object; a longer text has a heap block with a terminator
+// and, by estimate, 16 bytes of the allocator.
 std::size_t heap_bytes(const std::string& text) {
-    return text.capacity() > 15 ? text.capacity() + 17
-                                : 0; // up to 15 characters are stored inside the string object
+    return text.capacity() > 15 ? text.capacity() + 17 : 0;
 }
 
+/// Estimated memory of a record. A map node has links, a hash and a bucket entry, and 16 bytes of the
+/// allocator.
 std::size_t bytes_of(const std::string& key, const compact_record& it) {
     constexpr std::size_t node =
         sizeof(std::pair<const std::string, compact_record>) + 3 * sizeof(void*) + 16;
@@ -57,12 +60,12 @@
         while (!expiries.empty() && expiries.front().at <= now) {
             const expiry oldest = expiries.front();
             expiries.pop_front();
-            const auto it = oldest.owner->find(*oldest.key);
-            // A record that was written again has a later entry.
+            const auto it = oldest.shard_records->find(*oldest.key);
+            // A record that was written again has a later expiry.
             if (it->second.expires == oldest.at) {
                 bytes -= bytes_of(it->first, it->second);
                 --records;
-                oldest.owner->erase(it);
+                oldest.shard_records->erase(it);
             }
         }
     }
@@ -155,7 +158,7 @@
     } else {
         result.existing = state::expand(wanted.service, wanted.shard, it->first, it->second);
         if (*result.existing == wanted) {
-            result.accepted = true; // a repeated write
+            result.accepted = true; // a resent or duplicated write
             return result;
         }
         result.accepted = state::may_replace(wanted, *result.existing) && s.fits(wanted, &it->second);
