--- a/tests/ledger/random_test.cpp
+++ b/tests/ledger/random_test.cpp
@@ -8,6 +8,7 @@
 
 namespace {
 
+/// A simulation in which each step submits a request and may inject a random fault.
 struct random_run {
     simulation sim;
     std::mt19937_64 random;
@@ -16,30 +17,30 @@
         : sim(settings, seed), random(seed * 7919) {}
 
     std::uint64_t pick(std::uint64_t limit) { return random() % limit; }
-    std::string gate() { return pick(2) == 0 ? sim.current() : "g" + std::to_string(1 + pick(3)); }
-    std::string replica() { return "r" + std::to_string(1 + pick(3)); }
+    std::string any_gate() { return pick(2) == 0 ? sim.current_gate() : "g" + std::to_string(1 + pick(3)); }
+    std::string any_replica() { return "r" + std::to_string(1 + pick(3)); }
 
     void step(std::uint64_t round) {
         // Also resends keys of the last rounds, through any gate.
         const std::string key = "k" + std::to_string(round / 4 + pick(3));
-        sim.submit(gate(), key, pick(20) == 0 ? "other" : "d");
+        sim.submit(any_gate(), key, pick(20) == 0 ? "other" : "d");
         switch (pick(12)) {
         case 0:
             sim.appoint("g" + std::to_string(1 + pick(3)));
             break;
         case 1:
-            sim.pause_replica(replica(), 1ms * pick(80));
+            sim.pause_replica(any_replica(), 1ms * pick(80));
             break;
         case 2:
-            sim.pause_gate(gate(), 1ms * pick(80));
+            sim.pause_gate(any_gate(), 1ms * pick(80));
             break;
         case 3:
             if (sim.install_missing()) {
-                sim.replace_replica(replica());
+                sim.replace_replica(any_replica());
             }
             break;
         case 4:
-            sim.cut(gate(), replica());
+            sim.cut(any_gate(), any_replica());
             break;
         case 5:
             sim.heal();
@@ -85,7 +86,7 @@
 
 } // namespace
 
-TEST_CASE("under random faults no key runs twice and every reported outcome is true") {
+TEST_CASE("under random faults no key runs twice and every reported outcome is correct") {
     std::uint64_t ran = 0;
     std::uint64_t not_run = 0;
     std::uint64_t unknown = 0;
@@ -102,7 +103,7 @@
         not_run += it.sim.count(reported_outcome::not_run);
         unknown += it.sim.count(reported_outcome::unknown);
     }
-    // Runs in which few requests are served would prove nothing.
+    // A run that serves few requests would pass without testing much.
     MESSAGE("ran " << ran << ", not-run " << not_run << ", unknown " << unknown);
     CHECK(ran > 1500);
     CHECK(not_run > 500);
--- a/tests/ledger/simulation.h
+++ b/tests/ledger/simulation.h
@@ -18,7 +18,7 @@
 struct simulation_options {
     double loss = 0;
     double duplication = 0;
-    double late = 0; ///< fraction of messages that take up to 150 ms
+    double late = 0; ///< fraction of messages that take up to 150 ms instead of max_delay
     duration max_delay = std::chrono::milliseconds(4);
     double shed = 0; ///< fraction of requests that the upstream sheds, confirming that they did not start
     double lost_answer = 0; ///< fraction of executions whose answer is lost
@@ -43,13 +43,13 @@
         std::uint64_t epoch = 0;
         reported_outcome result = reported_outcome::nothing;
         std::string answer;
-        std::optional<verdict> first;
+        std::optional<verdict> last_verdict;
     };
 
     simulation(simulation_options settings, std::uint64_t seed) : options_(settings), random_(seed) {
         for (const char* it : {"r1", "r2", "r3"}) {
             names_.emplace_back(it);
-            replicas_.emplace(it, node{ledger::replica(settings.replica), {}, 0});
+            replicas_.emplace(it, replica_host{ledger::replica(settings.replica), {}, 0});
         }
         for (const char* it : {"g1", "g2", "g3"}) {
             gates_.emplace(it, gate{});
@@ -69,7 +69,7 @@
 
     /// Makes @p name the gate at a new epoch. The former gate is not informed and continues.
     void appoint(const std::string& name) {
-        current_ = name;
+        current_gate_ = name;
         gates_.at(name).epoch = ++epoch_;
         gates_.at(name).replicas = names_;
     }
@@ -89,20 +89,21 @@
     /// Restarts a replica empty and installs the windows of the others at a new epoch.
     /// @returns false if the windows cannot be read, since another replica is paused or not installed
     bool replace_replica(const std::string& name) {
-        node& lost = replicas_.at(name);
+        replica_host& lost = replicas_.at(name);
         ++lost.incarnation;
         if (options_.empty_replica_serves) {
-            lost.copy = ledger::replica(options_.replica);
+            lost.ledger_replica = ledger::replica(options_.replica);
             return true;
         }
-        lost.copy = ledger::replica(options_.replica, ledger::replica_start::awaiting_install);
+        lost.ledger_replica = ledger::replica(options_.replica, ledger::replica_start::awaiting_install);
         return install_missing();
     }
 
-    /// Installs the windows of the others at replicas that wait for it.
+    /// Installs the windows of the others at each replica that restarted empty.
+    /// @returns false if another replica is paused or not installed either
     bool install_missing() {
         for (auto& [name, it] : replicas_) {
-            if (!it.copy.ready() && !install(it)) {
+            if (!it.ledger_replica.ready() && !install(it)) {
                 return false;
             }
         }
@@ -137,13 +138,13 @@
         const auto it = executions_.find(key);
         return it == executions_.end() ? 0 : it->second;
     }
-    const std::string& current() const { return current_; }
-    ledger::replica& copy(const std::string& name) { return replicas_.at(name).copy; }
+    const std::string& current_gate() const { return current_gate_; }
+    ledger::replica& ledger_replica(const std::string& name) { return replicas_.at(name).ledger_replica; }
     std::uint64_t count(reported_outcome value) const {
         return static_cast<std::uint64_t>(std::count_if(submissions_.begin(), submissions_.end(),
                                                         [&](const auto& it) { return it.result == value; }));
     }
-    /// Number of operations in progress; 0 once all messages and timeouts have passed.
+    /// Number of operations of the writers in progress; 0 once all messages and timeouts have passed.
     std::size_t pending() const {
         std::size_t sum = 0;
         for (const auto& [name, g] : gates_) {
@@ -153,8 +154,8 @@
     }
 
 private:
-    struct node {
-        ledger::replica copy;
+    struct replica_host {
+        ledger::replica ledger_replica;
         time_point paused_until;
         std::uint64_t incarnation = 0;
     };
@@ -195,7 +196,7 @@
     }
 
     void deliver(const std::string& from, const replica_request& message, std::uint64_t incarnation) {
-        node& target = replicas_.at(message.replica);
+        replica_host& target = replicas_.at(message.replica);
         if (cut_.contains({from, message.replica}) || target.incarnation != incarnation) {
             return;
         }
@@ -211,20 +212,20 @@
         }
     }
 
-    void reply_to_write(const std::string& from, const replica_request& message, node& target) {
+    void reply_to_write(const std::string& from, const replica_request& message, replica_host& target) {
         const record& wanted = *message.write;
-        auto reply = target.copy.write(wanted, now_);
+        auto reply = target.ledger_replica.write(wanted, now_);
         if (options_.replicas_ignore_epoch && !reply.accepted && reply.fenced_epoch > wanted.epoch) {
             record raised = wanted;
             raised.epoch = reply.fenced_epoch;
-            reply = target.copy.write(raised, now_);
+            reply = target.ledger_replica.write(raised, now_);
         }
         if (options_.late_not_run_replaces && !reply.accepted && reply.existing &&
             wanted.state == record_state::not_run) {
             record later = *reply.existing;
             later.state = record_state::not_run;
             later.epoch = wanted.epoch;
-            reply = target.copy.write(later, now_);
+            reply = target.ledger_replica.write(later, now_);
         }
         reply_later(from, [message, reply](ledger::writer& it, time_point now) {
             return it.on_write_reply(message.operation, message.replica, reply, now);
@@ -238,8 +239,9 @@
         }
     }
 
-    void reply_to_fence(const std::string& from, const replica_request& message, node& target) {
-        auto reply = target.copy.fence(message.fence->first, message.fence->second, message.epoch, now_);
+    void reply_to_fence(const std::string& from, const replica_request& message, replica_host& target) {
+        auto reply =
+            target.ledger_replica.fence(message.fence->first, message.fence->second, message.epoch, now_);
         for (auto& it : reply.window) {
             if (options_.truncates_answers && !it.answer.empty()) {
                 it.answer.pop_back();
@@ -263,29 +265,30 @@
         send(to, call(g.writer, now_));
     }
 
-    bool install(node& target) {
+    bool install(replica_host& target) {
         const std::uint64_t epoch = epoch_ + 1;
         std::vector<ledger::shard_window> windows;
         for (auto& [name, it] : replicas_) {
             if (&it == &target) {
                 continue;
             }
-            if (it.paused_until > now_ || !it.copy.ready()) {
+            if (it.paused_until > now_ || !it.ledger_replica.ready()) {
                 return false;
             }
-            for (const auto& [service, shard] : it.copy.shards()) {
-                windows.push_back({service, shard, epoch, it.copy.fence(service, shard, epoch, now_).window});
+            for (const auto& [service, shard] : it.ledger_replica.shards()) {
+                windows.push_back(
+                    {service, shard, epoch, it.ledger_replica.fence(service, shard, epoch, now_).window});
             }
         }
-        target.copy.install(windows, now_);
+        target.ledger_replica.install(windows, now_);
         epoch_ = epoch;
-        appoint(current_);
+        appoint(current_gate_);
         return true;
     }
 
     void on_decision(std::size_t id, const decision& it) {
         submission& s = submissions_.at(id);
-        s.first = it.result;
+        s.last_verdict = it.result;
         switch (it.result) {
         case verdict::dispatch:
             schedule(now_, [this, id, run = *it.known] { dispatch(id, run); });
@@ -381,17 +384,17 @@
     time_point now_{std::chrono::seconds(1)};
     std::multimap<time_point, std::function<void()>> events_;
     std::vector<std::string> names_;
-    std::map<std::string, node> replicas_;
+    std::map<std::string, replica_host> replicas_;
     std::map<std::string, gate> gates_;
     std::set<std::pair<std::string, std::string>> cut_;
-    std::string current_;
+    std::string current_gate_;
     std::uint64_t epoch_ = 0;
     std::vector<submission> submissions_;
     std::map<std::string, int> executions_;
     std::map<std::string, std::string> answers_;
     std::set<std::pair<std::string, std::string>> executed_;
     std::map<std::pair<std::string, std::string>, int> in_flight_;
-    std::map<std::pair<std::string, std::string>, std::size_t> reported_not_run_;
+    std::map<std::pair<std::string, std::string>, std::size_t> reported_not_run_; ///< latest submission
     std::vector<std::string> violations_;
 };
 
