--- a/tests/ledger/writer_test.cpp
+++ b/tests/ledger/writer_test.cpp
@@ -85,7 +85,8 @@
             CHECK(it.tested.pending() == 0);
         }
     }
-    SUBCASE("begun of another gate that was not in the window means in doubt, unless a majority accepts") {
+    SUBCASE("a begun record of another gate, missing in the window, makes the key in doubt unless a majority "
+            "accepts") {
         it.reply(id, "r1", false, make("k", 3));
         it.reply(id, "r2", true);
         CHECK(it.decisions.empty());
@@ -127,7 +128,7 @@
     }
 }
 
-TEST_CASE("results reach duplicates, and results that the replicas refuse are in doubt later") {
+TEST_CASE("duplicates get the recorded result, and a key whose result could not be recorded is in doubt") {
     fenced_writer it;
     record result = make("first");
     result.state = record_state::answered;
@@ -183,7 +184,7 @@
         CHECK(finish(other).empty());
         CHECK(recorded == false);
     }
-    SUBCASE("a key is kept for longer than at the replicas, then dropped") {
+    SUBCASE("the writer keeps a key longer than the replicas do, then drops it") {
         finish(result);
         it.begin(make("first"), start + 11s);
         CHECK(it.decisions.back().result == verdict::answer);
@@ -221,56 +222,56 @@
     CHECK_FALSE(decisions->known);
 }
 
-TEST_CASE("a check looks a key up and records nothing") {
-    // Guards against `not-run` for a request that is refused early although its key ran before.
+TEST_CASE("look_up() finds the outcome of a key and records nothing") {
+    // Guards against reporting `not-run` for a request that is refused early although its key ran before.
     fenced_writer it;
-    const auto check = [&](const record& wanted) {
+    const auto look_up = [&](const record& wanted) {
         it.decisions.clear();
         return it.tested.look_up(
             wanted, names, [&](const decision& found) { it.decisions.push_back(found); }, start);
     };
-    const auto checked_at_once = [&](const record& wanted) {
-        CHECK(check(wanted).empty());
+    const auto look_up_at_once = [&](const record& wanted) {
+        CHECK(look_up(wanted).empty());
         REQUIRE(it.decisions.size() == 1);
         return it.decisions[0];
     };
-    SUBCASE("a check in a fenced shard sends nothing, and an absent key can still begin") {
-        const auto absent = checked_at_once(make("k"));
+    SUBCASE("a lookup in a fenced shard sends nothing, and an absent key can still begin") {
+        const auto absent = look_up_at_once(make("k"));
         CHECK(absent.result == verdict::unavailable);
         CHECK_FALSE(absent.known);
         CHECK(it.tested.pending() == 0);
         CHECK(it.begin(make("k")).size() == 3);
     }
     SUBCASE("a key in progress is in doubt at once, since the refused request may not wait") {
-        CHECK(checked_at_once(make("first")).result == verdict::in_doubt);
+        CHECK(look_up_at_once(make("first")).result == verdict::in_doubt);
         it.tested.abandon("s", 1, "first");
-        const auto abandoned = checked_at_once(make("first"));
+        const auto abandoned = look_up_at_once(make("first"));
         CHECK(abandoned.result == verdict::in_doubt);
         CHECK(abandoned.known);
     }
-    SUBCASE("a finished key") {
+    SUBCASE("the key of a request that has ended") {
         record result = make("first");
         result.state = record_state::answered;
         result.answer = "a";
-        SUBCASE("has its recorded answer") {
+        SUBCASE("with an answer: the same request gets it, another one a conflict") {
             it.tested.finish(
                 result, names, [](bool) {}, start);
-            const auto found = checked_at_once(make("first"));
+            const auto found = look_up_at_once(make("first"));
             CHECK(found.result == verdict::answer);
             CHECK(found.known->answer == "a");
             auto other = make("first");
             other.digest = "another request";
-            CHECK(checked_at_once(other).result == verdict::conflict);
+            CHECK(look_up_at_once(other).result == verdict::conflict);
         }
-        SUBCASE("that did not start is unavailable") {
+        SUBCASE("without a start: the key is unavailable") {
             result.state = record_state::not_run;
             it.tested.finish(
                 result, names, [](bool) {}, start);
-            CHECK(checked_at_once(make("first")).result == verdict::unavailable);
+            CHECK(look_up_at_once(make("first")).result == verdict::unavailable);
         }
     }
-    SUBCASE("a shard that is not fenced yet is fenced once for all waiting checks") {
-        const auto fence = check(make("k", 6));
+    SUBCASE("a shard that is not fenced yet is fenced once for all waiting lookups") {
+        const auto fence = look_up(make("k", 6));
         REQUIRE(fence.size() == 3);
         CHECK(fence[0].fence);
         CHECK(it.decisions.empty());
