--- a/tests/ledger/replica_test.cpp
+++ b/tests/ledger/replica_test.cpp
@@ -112,15 +112,15 @@
     CHECK_FALSE(tested.fence("s", 1, 9, start).accepted);
     SUBCASE("the latest record of each key is kept, whatever the order of the windows") {
         for (const bool swapped : {false, true}) {
-            replica copy({}, replica_start::awaiting_install);
+            replica installed({}, replica_start::awaiting_install);
             const shard_window a{"s", 1, 5, {begun(3, 2), make("m", 2, 1, record_state::not_run)}};
             const shard_window b{"s", 1, 5, {answered(3, 2), make("m", 2, 2, record_state::begun)}};
-            copy.install(swapped ? std::vector{b, a} : std::vector{a, b}, start);
-            CHECK(copy.ready());
-            CHECK(copy.size() == 2);
-            CHECK(copy.shards().size() == 1);
-            CHECK_FALSE(copy.write(make("x", 4, 1, record_state::begun), start).accepted);
-            auto window = copy.fence("s", 1, 6, start).window;
+            installed.install(swapped ? std::vector{b, a} : std::vector{a, b}, start);
+            CHECK(installed.ready());
+            CHECK(installed.size() == 2);
+            CHECK(installed.shards().size() == 1);
+            CHECK_FALSE(installed.write(make("x", 4, 1, record_state::begun), start).accepted);
+            auto window = installed.fence("s", 1, 6, start).window;
             std::sort(window.begin(), window.end(),
                       [](const auto& l, const auto& r) { return l.key < r.key; });
             CHECK(window.at(0) == answered(3, 2));
