--- a/tests/ledger/scenario_test.cpp
+++ b/tests/ledger/scenario_test.cpp
@@ -45,41 +45,43 @@
     static const std::map<std::string, action>& verbs() {
         static const std::map<std::string, action> all{
             {"submit",
-             [](scenario_runner& p, const scenario_step& s) {
-                 p.ids_[s.text("id")] =
-                     p.simulation_.submit(s.text("gate"), s.text("key"), s.text("digest", "d"));
+             [](scenario_runner& runner, const scenario_step& step) {
+                 runner.ids_[step.text("id")] =
+                     runner.simulation_.submit(step.text("gate"), step.text("key"), step.text("digest", "d"));
              }},
-            {"advance",
-             [](scenario_runner& p, const scenario_step& s) { p.simulation_.advance(milliseconds_of(s)); }},
-            {"appoint",
-             [](scenario_runner& p, const scenario_step& s) { p.simulation_.appoint(s.text("gate")); }},
+            {"advance", [](scenario_runner& runner,
+                           const scenario_step& step) { runner.simulation_.advance(milliseconds_of(step)); }},
+            {"appoint", [](scenario_runner& runner,
+                           const scenario_step& step) { runner.simulation_.appoint(step.text("gate")); }},
             {"pause-replica",
-             [](scenario_runner& p, const scenario_step& s) {
-                 p.simulation_.pause_replica(s.text("replica"), milliseconds_of(s));
+             [](scenario_runner& runner, const scenario_step& step) {
+                 runner.simulation_.pause_replica(step.text("replica"), milliseconds_of(step));
              }},
             {"pause-gate",
-             [](scenario_runner& p, const scenario_step& s) {
-                 p.simulation_.pause_gate(s.text("gate"), milliseconds_of(s));
+             [](scenario_runner& runner, const scenario_step& step) {
+                 runner.simulation_.pause_gate(step.text("gate"), milliseconds_of(step));
              }},
-            {"cut", [](scenario_runner& p,
-                       const scenario_step& s) { p.simulation_.cut(s.text("gate"), s.text("replica")); }},
-            {"heal", [](scenario_runner& p, const scenario_step&) { p.simulation_.heal(); }},
+            {"cut",
+             [](scenario_runner& runner, const scenario_step& step) {
+                 runner.simulation_.cut(step.text("gate"), step.text("replica"));
+             }},
+            {"heal", [](scenario_runner& runner, const scenario_step&) { runner.simulation_.heal(); }},
             {"replace-replica",
-             [](scenario_runner& p, const scenario_step& s) {
-                 CHECK(p.simulation_.replace_replica(s.text("replica")) ==
-                       (s.text("installed", "yes") == "yes"));
+             [](scenario_runner& runner, const scenario_step& step) {
+                 CHECK(runner.simulation_.replace_replica(step.text("replica")) ==
+                       (step.text("installed", "yes") == "yes"));
              }},
-            {"install",
-             [](scenario_runner& p, const scenario_step&) { CHECK(p.simulation_.install_missing()); }},
+            {"install", [](scenario_runner& runner,
+                           const scenario_step&) { CHECK(runner.simulation_.install_missing()); }},
             {"expect",
-             [](scenario_runner& p, const scenario_step& s) {
-                 CAPTURE(s.text("id"));
-                 CHECK(p.simulation_.at(p.ids_.at(s.text("id"))).result ==
-                       outcomes_by_name.at(s.text("told")));
+             [](scenario_runner& runner, const scenario_step& step) {
+                 CAPTURE(step.text("id"));
+                 CHECK(runner.simulation_.at(runner.ids_.at(step.text("id"))).result ==
+                       outcomes_by_name.at(step.text("told")));
              }},
             {"expect-executions",
-             [](scenario_runner& p, const scenario_step& s) {
-                 CHECK(p.simulation_.executions(s.text("key")) == s.number("count"));
+             [](scenario_runner& runner, const scenario_step& step) {
+                 CHECK(runner.simulation_.executions(step.text("key")) == step.number("count"));
              }},
         };
         return all;
