--- a/benchmark/ledger_throughput.cpp
+++ b/benchmark/ledger_throughput.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr std::size_t answer_bytes = 200;
-constexpr std::size_t frame_bytes = 14;
-constexpr std::size_t field_bytes = 20; // estimate for the numbers and field headers of a compact struct
+constexpr std::size_t frame_bytes = 14; // header of a frame
+constexpr std::size_t field_bytes = 20; // estimate: numbers and field headers of a Thrift compact struct
 
 std::string key_of(std::size_t n) {
     char text[40];
@@ -23,7 +23,7 @@
     return text;
 }
 
-record make(std::size_t n) {
+record begun_record(std::size_t n) {
     return {"registry", std::uint32_t(n % 128), key_of(n), 1, 0, record_state::begun, 0,
             "",         std::string(16, 'd')};
 }
@@ -46,11 +46,11 @@
         settings.max_records = 2'000'000;
         settings.max_total_bytes = std::size_t{4} << 30U;
         for (int n = 0; n < 3; ++n) {
-            copies_.emplace_back(settings);
+            replicas_.emplace_back(settings);
         }
     }
-    void pair(std::size_t n) {
-        const record wanted = make(n);
+    void begin_and_finish(std::size_t n) {
+        const record wanted = begun_record(n);
         bool dispatched = false;
         deliver(writer_.begin(
             wanted, names_, [&](const decision& it) { dispatched = it.result == verdict::dispatch; }, now_));
@@ -70,22 +70,22 @@
 private:
     void deliver(const std::vector<replica_request>& sent) {
         for (const auto& it : sent) {
-            replica& copy = copies_.at(std::size_t(it.replica.back() - '1'));
+            replica& target = replicas_.at(std::size_t(it.replica.back() - '1'));
             messages += 2;
             if (it.write) {
-                const auto reply = copy.write(*it.write, now_);
+                const auto reply = target.write(*it.write, now_);
                 bytes += 2 * frame_bytes + size_of(*it.write) + field_bytes +
                          (reply.existing ? reply.existing->answer.size() : 0);
                 deliver(writer_.on_write_reply(it.operation, it.replica, reply, now_));
             } else {
-                const auto reply = copy.fence(it.fence->first, it.fence->second, it.epoch, now_);
+                const auto reply = target.fence(it.fence->first, it.fence->second, it.epoch, now_);
                 bytes += 2 * (frame_bytes + field_bytes);
                 deliver(writer_.on_fence_reply(it.operation, it.replica, reply, now_));
             }
         }
     }
 
-    std::deque<replica> copies_;
+    std::deque<replica> replicas_;
     writer writer_{std::chrono::milliseconds(50)};
     std::vector<std::string> names_{"i1", "i2", "i3"};
     time_point now_{std::chrono::seconds(1)};
@@ -96,17 +96,17 @@
     replica_options settings;
     settings.max_records = records;
     settings.max_total_bytes = std::size_t{4} << 30U;
-    replica copy(settings);
+    replica measured(settings);
     for (std::size_t n = 0; n < records; ++n) {
-        record wanted = make(n);
-        copy.write(wanted, time_point(std::chrono::seconds(1)));
+        record wanted = begun_record(n);
+        measured.write(wanted, time_point(std::chrono::seconds(1)));
         wanted.state = record_state::answered;
         wanted.answer.assign(answer_bytes, 'a');
-        copy.write(wanted, time_point(std::chrono::seconds(2)));
+        measured.write(wanted, time_point(std::chrono::seconds(2)));
     }
     const std::size_t used = mallinfo2().uordblks - before;
-    std::printf("%6zu records: %.0f bytes per record on the heap, %.0f counted by the replica\n", copy.size(),
-                double(used) / double(records), double(copy.bytes()) / double(records));
+    std::printf("%6zu records: %.0f bytes per record on the heap, %.0f counted by the replica\n",
+                measured.size(), double(used) / double(records), double(measured.bytes()) / double(records));
 }
 
 } // namespace
@@ -119,7 +119,7 @@
     constexpr std::size_t pairs = 200'000;
     const double from = cpu_seconds();
     for (std::size_t n = 0; n < pairs; ++n) {
-        group.pair(n);
+        group.begin_and_finish(n);
     }
     const double rate = pairs / (cpu_seconds() - from);
     std::printf("%.0f pairs of begin and finish per second and core (writer and three replicas together)\n",
