--- a/src/admission/priority_queue.cpp
+++ b/src/admission/priority_queue.cpp
@@ -16,11 +16,16 @@
 // A waiting rank accumulates credit for at most this long, so that long-running requests of others delay its
 // share but do not cancel it.
 constexpr double max_credit_period_us = 1e6;
-// Estimates are means. Without these margins, up to a third of the urgent requests dispatched during an
-// urgent flood end after their deadline (bench_admission_floods, navalsig with 6 slots at 200%).
+
+// Margins on the estimated wait, and on the service time as a fraction of it. The estimates are means:
+// without margins, up to a third of the urgent requests dispatched during an urgent flood end after their
+// deadline (bench_admission_floods, navalsig with 6 slots at 200%).
 constexpr double wait_factor = 1.2;
 constexpr double service_margin = 1.0;
+
+// Time constant of the moving average of the slots that each rank uses.
 constexpr double usage_period_us = 0.5e6;
+// Interval at which whole queues are searched for expired requests; at their front these are found at once.
 constexpr duration sweep_period = std::chrono::milliseconds(10);
 
 struct running_request {
@@ -30,10 +35,11 @@
     double expected = 0; ///< expected service time in microseconds, charged at the start
 };
 
-/// Each rank with a share has a credit of slot time. It grows by the share while requests of the rank wait,
-/// shrinks by what the rank uses, and returns to zero when negative. A waiting rank with a credit of zero or
-/// more is served first, otherwise the most urgent rank. The debt of a rank is limited to one request, so
-/// that it does not pay for slots that were idle.
+/// Each rank with a guaranteed share has a credit of slot time. The credit grows at the rate of the share and
+/// shrinks by the slot time that the rank uses; it exceeds zero only while requests of the rank wait. Among
+/// the waiting ranks with a credit of zero or more, the one that has waited longest for its share is served
+/// first; without such a rank, the most urgent one. The credit falls below zero by at most one request, so
+/// that a rank that used idle slots is not held back for it later.
 class priority_queue_with_shares final : public queue {
 public:
     explicit priority_queue_with_shares(const queue_options& settings)
@@ -161,8 +167,8 @@
             std::max(std::min(floor, credit_[n]), credit_[n] - slot_time * occupied_slots(exclusive));
     }
 
-    /// Charges requests that run longer than expected while they run. A charge at their end would reduce the
-    /// share of the rank in the seconds that follow.
+    /// Charges requests for running longer than expected, while they run. A charge at their end would reduce
+    /// the share of the rank in the seconds that follow.
     void charge_overruns(time_point now) {
         for (const auto& [id, it] : running_) {
             const time_point due = it.started + duration(std::int64_t(it.expected));
@@ -247,8 +253,8 @@
         for (std::size_t other = 0; other <= n; ++other) {
             idle = idle && waiting_[other].empty();
         }
-        // An idle upstream always gets a request, since only new samples correct an estimate that is too
-        // high.
+        // An idle upstream always gets a request, since an estimate that is too high is corrected only by new
+        // samples.
         if (idle && meter_.slots() > 0) {
             return true;
         }
