--- a/src/admission/slot_meter.h
+++ b/src/admission/slot_meter.h
@@ -20,7 +20,8 @@
         const double whole = std::floor(slots_);
         const double partial_in_use = double(running) > whole ? 1.0 : 0.0;
         balance_ = std::min(0.0, balance_ + elapsed * (slots_ - whole - partial_in_use));
-        // Limits how long the fractional slot stays closed after a slow request; microseconds of slot time.
+        // A limit of one second, so that the fractional slot does not stay closed for long after a slow
+        // request.
         balance_ = std::max(balance_, -1e6);
     }
     bool has_free_slot(std::uint32_t running) const noexcept {
@@ -33,7 +34,7 @@
 
 private:
     double slots_ = 0;
-    double balance_ = 0;
+    double balance_ = 0; ///< microseconds of slot time; negative while the fractional slot has been overused
 };
 
 } // namespace kingcupseam::admission
