--- a/src/admission/upstream_health.cpp
+++ b/src/admission/upstream_health.cpp
@@ -7,7 +7,7 @@
 
 // A report is ignored after this time.
 constexpr duration report_validity = std::chrono::seconds(2);
-// Time in which the slots of a new or returned upstream rise linearly to their full number.
+// Time in which the used slots of a new or returned upstream rise linearly to their full number.
 constexpr duration ramp_period = std::chrono::seconds(5);
 constexpr double initial_fraction = 0.25;
 // Each failure reduces the fraction by three tenths; each answer restores a tenth of what is missing.
@@ -61,6 +61,7 @@
     s.last_answer = now;
     s.probe_sent.reset();
     s.refused_connects = 0;
+    // The constant lets the factor reach 1, which the steps alone only approach.
     s.outcome_factor = std::min(1.0, s.outcome_factor + recovery_step * (1 - s.outcome_factor) + 0.001);
 }
 
