--- a/benchmark/admission_floods.cpp
+++ b/benchmark/admission_floods.cpp
@@ -172,13 +172,13 @@
         const auto tested = make_queue(kind, settings);
         flood_options load;
         for (std::size_t n = 0; n < rank_count; ++n) {
-            load.per_second[n] = demand[n] * slots * 1e6 / service_us;
+            load.arrivals_per_second[n] = demand[n] * slots * 1e6 / service_us;
         }
         const flood_result seen = flood_simulation(*tested, load, seed).run(seconds);
         for (std::size_t n = 0; n < rank_count; ++n) {
             sum.in_time[n] += seen.fraction_in_time(all_ranks[n]) / seeds.size();
             sum.share[n] += seen.mean_share(all_ranks[n], slots) / seeds.size();
-            sum.demand[n] += seen.demand_seconds[n] / slots / seconds / seeds.size();
+            sum.demand[n] += seen.demanded_slot_time[n] / slots / seconds / seeds.size();
             const double busy = 1.5 * rules.share(n) * slots * 1e6 / service_us;
             sum.worst_second[n] =
                 std::min(sum.worst_second[n], seen.smallest_share_when_busy(all_ranks[n], slots, busy));
--- a/tests/admission/flood.h
+++ b/tests/admission/flood.h
@@ -12,19 +12,19 @@
 using admission::queued_request;
 
 struct flood_options {
-    std::array<double, rank_count> per_second{};
+    std::array<double, rank_count> arrivals_per_second{};
     std::array<duration, rank_count> timeout{std::chrono::milliseconds(100), std::chrono::milliseconds(400),
                                              std::chrono::seconds(1)};
     double mean_service_us = 10'000;
 };
 
 struct flood_result {
-    std::vector<std::array<double, rank_count>> slot_seconds;      ///< per second of virtual time
-    std::vector<std::array<std::uint32_t, rank_count>> offered_in; ///< requests per second of virtual time
+    std::vector<std::array<double, rank_count>> slot_time_by_second;      ///< used in each virtual second
+    std::vector<std::array<std::uint32_t, rank_count>> offered_by_second; ///< requests in each virtual second
     std::array<std::uint64_t, rank_count> offered{};
     std::array<std::uint64_t, rank_count> in_time{};
     std::array<std::uint64_t, rank_count> late{};
-    std::array<double, rank_count> demand_seconds{}; ///< slot time of all requests offered
+    std::array<double, rank_count> demanded_slot_time{}; ///< of all requests offered, in seconds
     std::uint32_t most_running = 0;
 
     double fraction_in_time(rank value) const {
@@ -34,8 +34,8 @@
     /// Lowest slot time of the rank, per slot, over all seconds after the first two.
     double smallest_share(rank value, double slots) const {
         double least = 1;
-        for (std::size_t n = 2; n < slot_seconds.size(); ++n) {
-            least = std::min(least, slot_seconds[n][static_cast<std::size_t>(value)] / slots);
+        for (std::size_t n = 2; n < slot_time_by_second.size(); ++n) {
+            least = std::min(least, slot_time_by_second[n][static_cast<std::size_t>(value)] / slots);
         }
         return least;
     }
@@ -43,19 +43,19 @@
     double smallest_share_when_busy(rank value, double slots, double least) const {
         const auto n = static_cast<std::size_t>(value);
         double result = 1;
-        for (std::size_t second = 2; second < slot_seconds.size(); ++second) {
-            if (offered_in[second][n] >= least) {
-                result = std::min(result, slot_seconds[second][n] / slots);
+        for (std::size_t second = 2; second < slot_time_by_second.size(); ++second) {
+            if (offered_by_second[second][n] >= least) {
+                result = std::min(result, slot_time_by_second[second][n] / slots);
             }
         }
         return result;
     }
     double mean_share(rank value, double slots) const {
         double sum = 0;
-        for (std::size_t n = 2; n < slot_seconds.size(); ++n) {
-            sum += slot_seconds[n][static_cast<std::size_t>(value)];
+        for (std::size_t n = 2; n < slot_time_by_second.size(); ++n) {
+            sum += slot_time_by_second[n][static_cast<std::size_t>(value)];
         }
-        return sum / slots / double(slot_seconds.size() - 2);
+        return sum / slots / double(slot_time_by_second.size() - 2);
     }
 };
 
@@ -70,8 +70,8 @@
     }
 
     flood_result run(int seconds) {
-        result_.slot_seconds.resize(static_cast<std::size_t>(seconds));
-        result_.offered_in.resize(static_cast<std::size_t>(seconds));
+        result_.slot_time_by_second.resize(static_cast<std::size_t>(seconds));
+        result_.offered_by_second.resize(static_cast<std::size_t>(seconds));
         const time_point end = start_ + std::chrono::seconds(seconds);
         for (std::size_t n = 0; n < rank_count; ++n) {
             schedule(n, start_);
@@ -96,19 +96,19 @@
     };
 
     void schedule(std::size_t n, time_point from) {
-        if (load_.per_second[n] > 0) {
-            std::exponential_distribution<double> gap(load_.per_second[n] / 1e6);
+        if (load_.arrivals_per_second[n] > 0) {
+            std::exponential_distribution<double> gap(load_.arrivals_per_second[n] / 1e6);
             events_.insert({from + duration(1 + std::int64_t(gap(arrivals_[n]))), {true, n}});
         }
     }
     void arrive(std::size_t n, time_point now) {
         const queued_request request{++last_id_, all_ranks[n], now, now + load_.timeout[n], false};
         ++result_.offered[n];
-        ++result_.offered_in[std::size_t((now - start_) / std::chrono::seconds(1))][n];
+        ++result_.offered_by_second[std::size_t((now - start_) / std::chrono::seconds(1))][n];
         // Drawn for every arrival, also a refused one, so that with one seed all queues get the same
         // requests.
         const double service = draw_service(n);
-        result_.demand_seconds[n] += service / 1e6;
+        result_.demanded_slot_time[n] += service / 1e6;
         if (queue_.admit(request, now) == admission::admit_result::admitted) {
             service_time_of_[request.id] = duration(std::int64_t(service));
         }
@@ -132,8 +132,8 @@
         while (from < to) {
             const auto second = (from - start_) / std::chrono::seconds(1);
             const time_point cut = std::min(to, start_ + std::chrono::seconds(second + 1));
-            if (std::size_t(second) < result_.slot_seconds.size()) {
-                result_.slot_seconds[std::size_t(second)][n] += double((cut - from).count()) / 1e6;
+            if (std::size_t(second) < result_.slot_time_by_second.size()) {
+                result_.slot_time_by_second[std::size_t(second)][n] += double((cut - from).count()) / 1e6;
             }
             from = cut;
         }
--- a/tests/admission/queue_test.cpp
+++ b/tests/admission/queue_test.cpp
@@ -38,8 +38,8 @@
 test::flood_result flood(queue& tested, double slots, std::size_t flooding, std::uint64_t seed) {
     const double capacity = slots * 100;
     flood_options load;
-    load.per_second = {capacity * 0.4, capacity * 0.4, capacity * 0.4};
-    load.per_second[flooding] = capacity * 2;
+    load.arrivals_per_second = {capacity * 0.4, capacity * 0.4, capacity * 0.4};
+    load.arrivals_per_second[flooding] = capacity * 2;
     load.timeout.fill(1s);
     return flood_simulation(tested, load, seed).run(12);
 }
@@ -85,7 +85,7 @@
     SUBCASE("slot time that other ranks leave unused goes to urgent work") {
         const auto shared = make_priority_queue_with_shares(options(2, 0.30, 0.15));
         flood_options load;
-        load.per_second = {400, 0, 0};
+        load.arrivals_per_second = {400, 0, 0};
         CHECK(flood_simulation(*shared, load, 3).run(6).mean_share(rank::urgent, 2) > 0.97);
     }
 }
@@ -158,7 +158,7 @@
     SUBCASE("during a flood few dispatched urgent requests end after their deadline") {
         const auto shared = make_priority_queue_with_shares(options(6, 0.15, 0.05));
         flood_options load;
-        load.per_second = {1000, 120, 60};
+        load.arrivals_per_second = {1000, 120, 60};
         const auto seen = flood_simulation(*shared, load, 9).run(12);
         CHECK(double(seen.late[0]) < 0.1 * double(seen.in_time[0]));
     }
@@ -188,7 +188,7 @@
             const auto tested = make_priority_queue_with_shares(options(2, 0, 0));
             tested->set_slots(slots);
             flood_options load;
-            load.per_second = {600, 0, 0};
+            load.arrivals_per_second = {600, 0, 0};
             const double used = flood_simulation(*tested, load, 5).run(12).mean_share(rank::urgent, 1);
             CHECK(used > slots * 0.9);
             CHECK(used < slots * 1.05);
