--- a/src/admission/slot_meter.h
+++ b/src/admission/slot_meter.h
@@ -20,8 +20,7 @@
         const double whole = std::floor(slots_);
         const double partial_in_use = double(running) > whole ? 1.0 : 0.0;
         balance_ = std::min(0.0, balance_ + elapsed * (slots_ - whole - partial_in_use));
-        // A limit of one second, so that the fractional slot does not stay closed for long after a slow
-        // request.
+        // At most one second of slot time, so that a slow request does not keep the slot closed for long.
         balance_ = std::max(balance_, -1e6);
     }
     bool has_free_slot(std::uint32_t running) const noexcept {
