--- a/tests/admission/queue_test.cpp
+++ b/tests/admission/queue_test.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("a queue serves urgent work first and keeps the shares of the others") {
+TEST_CASE("a queue serves urgent requests first and keeps the guaranteed shares of the other ranks") {
     const auto tested = make_priority_queue_with_shares(options(1, 0, 0));
     SUBCASE("without shares the order is by rank, then by arrival") {
         const std::array<rank, 4> order{rank::deferrable, rank::standard, rank::urgent, rank::urgent};
@@ -59,7 +59,7 @@
             tested->finished(expected, 1ms, start);
         }
     }
-    SUBCASE("a flood of urgent or deferrable work leaves each rank its share in each second") {
+    SUBCASE("a flood of urgent or deferrable requests leaves each rank its share in each second") {
         for (const std::uint32_t slots : {2U, 6U}) {
             for (const std::size_t flooding : {0U, 2U}) {
                 CAPTURE(slots);
@@ -82,7 +82,7 @@
         const auto fifo = make_fifo_queue(options(2, 0.30, 0.15));
         CHECK_FALSE(keeps_share(flood(*fifo, 2, 0, 7), rank::standard, 0.30, 2));
     }
-    SUBCASE("slot time that other ranks leave unused goes to urgent work") {
+    SUBCASE("slot time that other ranks leave unused goes to urgent requests") {
         const auto shared = make_priority_queue_with_shares(options(2, 0.30, 0.15));
         flood_options load;
         load.arrivals_per_second = {400, 0, 0};
@@ -90,9 +90,9 @@
     }
 }
 
-TEST_CASE("a queue refuses early what cannot be served in time") {
+TEST_CASE("a queue refuses at once what cannot be served in time") {
     const auto tested = make_priority_queue_with_shares(options(2, 0.25, 0));
-    SUBCASE("each rank has its own limit, so a flood of one does not make the others refused") {
+    SUBCASE("each rank has its own queue limit, so a flood of one rank does not get the others refused") {
         for (std::uint64_t n = 0; n < 256; ++n) {
             CHECK(tested->admit(request(n, rank::deferrable, 1h), start) == admit_result::admitted);
         }
@@ -183,7 +183,7 @@
 }
 
 TEST_CASE("slots may be fractional and a suspected poison request runs alone") {
-    SUBCASE("half a slot is used half of the time") {
+    SUBCASE("a fractional number of slots is used in full on average") {
         for (const double slots : {0.5, 1.3, 2.0}) {
             const auto tested = make_priority_queue_with_shares(options(2, 0, 0));
             tested->set_slots(slots);
