--- a/tests/admission/resilience_test.cpp
+++ b/tests/admission/resilience_test.cpp
@@ -64,7 +64,8 @@
         CHECK(tested.status_of("a", start + 1s) == status::refused);
         CHECK(tested.status_of("a", start + 11min) == status::clear);
     }
-    SUBCASE("crashes with several requests in flight refuse none, a second crash of a lone one does") {
+    SUBCASE("crashes with several requests in flight make them suspected, and a crash of one of them alone "
+            "refuses it") {
         tested.on_crash({"a", "b"}, start);
         tested.on_crash({"a", "b"}, start);
         tested.on_crash({"a", "b"}, start);
@@ -141,14 +142,14 @@
         CHECK(tested.probe_due(warm, warm + 250ms));
         tested.on_probe_sent(warm + 250ms);
         CHECK_FALSE(tested.probe_due(warm, warm + 260ms));
-        SUBCASE("answered: the old connection is lost") {
+        SUBCASE("answered: the old connection counts as lost") {
             tested.on_probe_answered(warm + 260ms);
             CHECK(tested.current(warm + 261ms) == health::silent_connection);
             CHECK(tested.slot_fraction(warm + 261ms) > 0.5);
             CHECK_FALSE(tested.probe_due(warm, warm + 270ms));
             CHECK(tested.probe_due(warm, warm + 600ms));
         }
-        SUBCASE("silent: the upstream is frozen within 1 s and ramps up when it returns") {
+        SUBCASE("not answered: the upstream counts as frozen within 1 s and ramps up when it returns") {
             CHECK(tested.current(warm + 600ms) == health::frozen);
             CHECK(tested.slot_fraction(warm + 600ms) == 0);
             tested.on_reported_load(0, 6, warm + 600ms);
