--- a/benchmark/admission_floods.cpp
+++ b/benchmark/admission_floods.cpp
@@ -1,4 +1,5 @@
-// Floods of one rank at one upstream: compares guaranteed shares with arrival order and with dual prices.
+// Floods of one rank at one upstream: compares the queue with guaranteed shares with one in arrival order and
+// with one that sets a price per rank (dual_price_queue).
 #include "../tests/admission/flood.h"
 
 #include <cstdio>
@@ -16,10 +17,11 @@
 
 constexpr int seconds = 40;
 constexpr std::array<std::uint64_t, 3> seeds{11, 12, 13};
-// Demand without a flood, as a fraction of the capacity; a flood raises one rank until the total is reached.
-constexpr std::array<double, rank_count> ordinary{0.35, 0.20, 0.10};
+// Demand of each rank without a flood, as a fraction of the capacity. A flood raises the demand of one rank
+// until the total reaches a given percentage.
+constexpr std::array<double, rank_count> ordinary_demand{0.35, 0.20, 0.10};
 // One request in 500 takes twenty times the mean of 10 ms.
-constexpr double service_us = 10'000 * (1 + 19.0 / 500);
+constexpr double mean_service_us = 10'000 * (1 + 19.0 / 500);
 
 struct policy {
     const char* name;
@@ -67,12 +69,12 @@
         const queued_request result = waiting_[chosen].front();
         waiting_[chosen].pop_front();
         running_[result.id] = chosen;
-        ++running_of_[chosen];
+        ++running_by_rank_[chosen];
         return result;
     }
     void finished(std::uint64_t id, std::optional<duration> service_time, time_point now) override {
         advance(now);
-        --running_of_[running_.at(id)];
+        --running_by_rank_[running_.at(id)];
         running_.erase(id);
         mean_ += (std::min(double(service_time->count()), 4 * mean_) - mean_) / 16;
     }
@@ -90,15 +92,15 @@
     static constexpr std::array<double, rank_count> weight{3, 2, 1};
 
     void advance(time_point now) {
-        const double elapsed = double((now - at_).count()) / 1e6;
-        at_ = now;
+        const double elapsed = double((now - advanced_to_).count()) / 1e6;
+        advanced_to_ = now;
         if (elapsed > 1) { // the first call
             return;
         }
-        const double keep = std::exp(-elapsed / 0.5);
+        const double decay = std::exp(-elapsed / 0.5);
         for (std::size_t n = 0; n < rank_count; ++n) {
-            const double served = running_of_[n] / slots_;
-            usage_[n] = usage_[n] * keep + served * (1 - keep);
+            const double served = running_by_rank_[n] / slots_;
+            usage_[n] = usage_[n] * decay + served * (1 - decay);
             const double error = waiting_[n].empty() ? -served : ranks_[n].guaranteed_share - served;
             price_[n] = std::clamp(price_[n] + rate_ * error * elapsed, 0.0, 4.0);
         }
@@ -115,14 +117,14 @@
     }
     double expected_wait(std::size_t n) const {
         double ahead = double(running_.size()) >= slots_ ? mean_ : 0;
-        double left = 1;
+        double free_fraction = 1;
         for (std::size_t other = 0; other < rank_count; ++other) {
             ahead += other <= n ? double(waiting_[other].size()) * mean_ : 0;
-            left -= other < n   ? usage_[other]
-                    : other > n ? std::min(ranks_[other].guaranteed_share, usage_[other])
-                                : 0;
+            free_fraction -= other < n   ? usage_[other]
+                             : other > n ? std::min(ranks_[other].guaranteed_share, usage_[other])
+                                         : 0;
         }
-        const double by_urgency = ahead / (slots_ * std::max(0.01, left));
+        const double by_urgency = ahead / (slots_ * std::max(0.01, free_fraction));
         const double rate = ranks_[n].guaranteed_share * slots_;
         const double own = double(waiting_[n].size()) * mean_;
         return rate > 0 ? std::min(by_urgency, own / rate + mean_ / slots_) : by_urgency;
@@ -135,18 +137,19 @@
     std::array<std::deque<queued_request>, rank_count> waiting_;
     std::array<double, rank_count> price_{};
     std::array<double, rank_count> usage_{};
-    std::array<int, rank_count> running_of_{};
+    std::array<int, rank_count> running_by_rank_{};
     std::unordered_map<std::uint64_t, std::size_t> running_;
-    time_point at_{};
+    time_point advanced_to_{};
 };
 
 std::unique_ptr<queue> make_dual_price_queue(const queue_options& settings, double rate) {
     return std::make_unique<dual_price_queue>(settings, rate);
 }
 
+/// Fractions for each rank, averaged over the seeds.
 struct figures {
     std::array<double, rank_count> in_time{};
-    std::array<double, rank_count> share{};
+    std::array<double, rank_count> share{}; ///< of the slot time
     std::array<double, rank_count> demand{};
     /// Lowest slot share in a second in which requests for at least 1.5 times the guaranteed share arrived.
     std::array<double, rank_count> worst_second{1, 1, 1};
@@ -172,14 +175,14 @@
         const auto tested = make_queue(kind, settings);
         flood_options load;
         for (std::size_t n = 0; n < rank_count; ++n) {
-            load.arrivals_per_second[n] = demand[n] * slots * 1e6 / service_us;
+            load.arrivals_per_second[n] = demand[n] * slots * 1e6 / mean_service_us;
         }
         const flood_result seen = flood_simulation(*tested, load, seed).run(seconds);
         for (std::size_t n = 0; n < rank_count; ++n) {
             sum.in_time[n] += seen.fraction_in_time(all_ranks[n]) / seeds.size();
             sum.share[n] += seen.mean_share(all_ranks[n], slots) / seeds.size();
             sum.demand[n] += seen.demanded_slot_time[n] / slots / seconds / seeds.size();
-            const double busy = 1.5 * rules.share(n) * slots * 1e6 / service_us;
+            const double busy = 1.5 * rules.share(n) * slots * 1e6 / mean_service_us;
             sum.worst_second[n] =
                 std::min(sum.worst_second[n], seen.smallest_share_when_busy(all_ranks[n], slots, busy));
         }
@@ -189,7 +192,7 @@
 
 /// Sums and minima over all floods, to compare queues.
 struct totals {
-    double urgent_in_lowest_flood = 0;
+    double urgent_in_time = 0; ///< during floods of the lowest rank
     double all_in_time = 0;
     double worst_mean = 9; ///< lowest slot share as a fraction of the guaranteed one
     double worst_second = 9;
@@ -204,11 +207,11 @@
     void run() {
         for (const policy& rules : policies) {
             for (const std::uint32_t slots : {2U, 6U}) {
-                const figures calm = measure(kind_, rules, slots, ordinary);
-                print(rules, slots, "none", 65, calm);
+                const figures without_flood = measure(kind_, rules, slots, ordinary_demand);
+                print(rules, slots, "none", 65, without_flood);
                 for (const std::size_t flooding : {2U, 0U}) {
                     for (const int percent : {80, 120, 160, 200}) {
-                        flood(rules, slots, flooding, percent, calm);
+                        flood(rules, slots, flooding, percent, without_flood);
                     }
                 }
             }
@@ -219,16 +222,17 @@
 
 private:
     void flood(const policy& rules, std::uint32_t slots, std::size_t flooding, int percent,
-               const figures& calm) {
-        auto demand = ordinary;
-        demand[flooding] += percent / 100.0 - (ordinary[0] + ordinary[1] + ordinary[2]);
+               const figures& without_flood) {
+        auto demand = ordinary_demand;
+        demand[flooding] += percent / 100.0 - (ordinary_demand[0] + ordinary_demand[1] + ordinary_demand[2]);
         const figures seen = measure(kind_, rules, slots, demand);
         print(rules, slots, flooding == 2 ? "deferrable" : "urgent", percent, seen);
         ++totals_.runs;
         totals_.all_in_time += (seen.in_time[0] + seen.in_time[1] + seen.in_time[2]) / 3;
         if (flooding == 2) {
-            totals_.urgent_in_lowest_flood += seen.in_time[0];
-            require(seen.in_time[0] >= 0.98 * calm.in_time[0], "urgent service fell by more than 2%");
+            totals_.urgent_in_time += seen.in_time[0];
+            require(seen.in_time[0] >= 0.98 * without_flood.in_time[0],
+                    "urgent service fell by more than 2%");
         }
         for (std::size_t n = 0; n < rank_count; ++n) {
             const double guaranteed = std::min(rules.share(n), seen.demand[n]);
@@ -271,7 +275,7 @@
     for (const auto& it : all) {
         const totals& sum = it.result();
         std::printf("%-10s  %.4f  %.4f  %.3f  %.3f  %d\n", it.kind().c_str(),
-                    2 * sum.urgent_in_lowest_flood / sum.runs, sum.all_in_time / sum.runs, sum.worst_mean,
+                    2 * sum.urgent_in_time / sum.runs, sum.all_in_time / sum.runs, sum.worst_mean,
                     sum.worst_second, sum.missed);
     }
     return all.front().result().missed == 0 ? 0 : 1;
