--- a/tests/membership/detector_test.cpp
+++ b/tests/membership/detector_test.cpp
@@ -57,7 +57,7 @@
     CHECK(net.count_unseen_pairs() == 0);
 }
 
-TEST_CASE("all members see a lost instance as dead") {
+TEST_CASE("a lost instance is dead at all members, until it returns with a higher incarnation") {
     group it(12);
     it.net.stop(7);
     it.net.run(2s);
@@ -100,7 +100,7 @@
     CHECK(it.seen(status::suspect, "i7") > 0);
 }
 
-TEST_CASE("an instance that leaves is known to have left, and is not declared dead") {
+TEST_CASE("an instance that leaves is recorded as left, not declared dead") {
     group it(12);
     it.net.leave(7);
     it.net.run(2s);
@@ -132,7 +132,7 @@
     }
 }
 
-TEST_CASE("1% message loss does not make a member dead") {
+TEST_CASE("1% message loss does not get a member declared dead") {
     group it(12, 5, 0.01);
     it.net.run(60s);
     CHECK(std::none_of(it.changes.begin(), it.changes.end(),
