--- a/benchmark/membership_cost.cpp
+++ b/benchmark/membership_cost.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr double loss = 0.01;
-constexpr std::size_t udp_and_ip_headers = 28;
+constexpr std::size_t udp_and_ip_header_bytes = 28;
 
 /// Size in Thrift compact form (idl/peer.thrift: MembershipProbe) with the 2-byte type of the datagram.
 std::size_t size_of(const membership::message& it) {
@@ -30,6 +30,7 @@
     return bytes;
 }
 
+/// Messages and bytes are per instance and second.
 struct result {
     double messages = 0;
     double bytes = 0;
@@ -58,10 +59,10 @@
         out.false_deaths += it.condition == membership::status::dead ? 1 : 0;
     };
     net.run(length);
-    const double unit = static_cast<double>(members) * static_cast<double>(length.count()) / 1e6;
-    out.messages = static_cast<double>(messages) / unit;
-    out.bytes = static_cast<double>(bytes) / unit;
-    out.wire_bytes = static_cast<double>(bytes + messages * udp_and_ip_headers) / unit;
+    const double instance_seconds = static_cast<double>(members) * static_cast<double>(length.count()) / 1e6;
+    out.messages = static_cast<double>(messages) / instance_seconds;
+    out.bytes = static_cast<double>(bytes) / instance_seconds;
+    out.wire_bytes = static_cast<double>(bytes + messages * udp_and_ip_header_bytes) / instance_seconds;
     net.on_send = [](const auto&) {};
 }
 
@@ -88,7 +89,7 @@
     std::sort(out.detection_ms.begin(), out.detection_ms.end());
 }
 
-result measure(const char* tuning, std::size_t members, const membership::options& settings,
+result measure(const char* settings_name, std::size_t members, const membership::options& settings,
                std::size_t losses) {
     virtual_network net(members, loss);
     net.settings = settings;
@@ -105,7 +106,7 @@
                                         : out.detection_ms[static_cast<std::size_t>(
                                               share * static_cast<double>(out.detection_ms.size() - 1))];
     };
-    std::printf("%-8s %7zu %10.1f %9.0f %9.0f %8.0f %8.0f %8.0f %8.0f %6zu %6zu\n", tuning, members,
+    std::printf("%-8s %7zu %10.1f %9.0f %9.0f %8.0f %8.0f %8.0f %8.0f %6zu %6zu\n", settings_name, members,
                 out.messages, out.bytes, out.wire_bytes, at(0.5), at(0.9), at(0.99), at(1), out.false_deaths,
                 out.undetected);
     std::fflush(stdout);
