--- a/src/membership/detector.cpp
+++ b/src/membership/detector.cpp
@@ -14,13 +14,13 @@
 constexpr duration seed_retry_interval = std::chrono::seconds(10);
 // 32 records take less than 1,400 bytes, so that the datagram is not fragmented.
 constexpr std::size_t records_per_message = 32;
-// Number of members to which a leaving instance announces its stop; the others learn it from them.
+// Number of members to which a leaving instance announces its departure; these spread it to the others.
 constexpr std::size_t leave_fanout = 3;
 // A random member is probed in every n-th interval, in addition to the successor. These probes detect the
 // loss of members whose predecessor in the ring is lost too, and spread changes beyond the neighbours.
 constexpr std::uint64_t random_probe_every = 8;
-// Number of members to which a death or a refutation is sent as soon as it is learned. If it were only
-// piggybacked on probes, a refutation could arrive after the suspicion timeout.
+// Number of members to which a death or a refutation is sent as soon as it is known. A refutation that is
+// only piggybacked on probes could arrive after the suspicion timeout.
 constexpr std::size_t immediate_fanout = 3;
 
 } // namespace
@@ -68,7 +68,7 @@
     member_list members{settings, random};
     std::map<std::uint64_t, probe> pending_probes;
     std::uint64_t next_sequence = 0;
-    std::size_t immediate_retries = 0; ///< dead members to probe without delay, after one of them returned
+    std::size_t immediate_retries = 0; ///< probes of dead members to send without delay, after one returned
     bool leaving = false;
     std::uint64_t intervals = 0;
     time_point last_tick;
@@ -117,7 +117,7 @@
 }
 
 void detector::state::disseminate(effects& out, const record& received) {
-    // The record is sent in an acknowledgement that belongs to no probe, since that needs no answer.
+    // An acknowledgement that belongs to no probe carries the record, since it needs no answer.
     for (const auto* one : members.random_members(immediate_fanout, true, "")) {
         send(out, message_kind::probe_ack, one->known.address, 0, {received});
     }
