--- a/tests/membership/detector_test.cpp
+++ b/tests/membership/detector_test.cpp
@@ -57,7 +57,7 @@
     CHECK(net.count_unseen_pairs() == 0);
 }
 
-TEST_CASE("a lost instance is dead at all members, until it returns with a higher incarnation") {
+TEST_CASE("all members declare a lost instance dead") {
     group it(12);
     it.net.stop(7);
     it.net.run(2s);
