--- a/tests/consensus/fake_network.cpp
+++ b/tests/consensus/group_simulation.cpp
@@ -1,4 +1,4 @@
-#include "fake_network.h"
+#include "group_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,7 +13,8 @@
 
 } // namespace
 
-fake_network::fake_network(const network_options& settings) : settings_(settings), random_(settings.seed) {
+group_simulation::group_simulation(const group_options& settings)
+    : settings_(settings), random_(settings.seed) {
     membership initial;
     for (std::size_t n = 0; n < settings.voters + settings.spares; ++n) {
         host it;
@@ -33,7 +34,7 @@
     }
 }
 
-void fake_network::start(host& it) {
+void group_simulation::start(host& it) {
     options given;
     given.group = 7;
     given.self = it.id;
@@ -41,13 +42,13 @@
     given.max_append_bytes = 2000;
     given.elect_after_restart = settings_.elect_after_restart;
     const time_point since =
-        settings_.injected == fault::forgets_leader ? now_ - std::chrono::seconds(1) : now_;
+        settings_.injected == fault::votes_right_after_restart ? now_ - std::chrono::seconds(1) : now_;
     it.state = {};
     it.applied = 0;
     it.node = std::make_unique<node>(given, *it.disk, since);
 }
 
-void fake_network::run(duration length) {
+void group_simulation::run(duration length) {
     const time_point end = now_ + length;
     while (events_.top().when <= end) {
         step();
@@ -55,7 +56,7 @@
     now_ = end;
 }
 
-bool fake_network::run_until(const std::function<bool()>& done, duration limit) {
+bool group_simulation::run_until(const std::function<bool()>& done, duration limit) {
     const time_point end = now_ + limit;
     while (!done()) {
         if (events_.top().when > end) {
@@ -67,7 +68,7 @@
     return true;
 }
 
-void fake_network::step() {
+void group_simulation::step() {
     const event next = events_.top();
     events_.pop();
     now_ = next.when;
@@ -87,9 +88,9 @@
     deliver(to, next.delivered);
 }
 
-void fake_network::deliver(host& to, const message& m) {
+void group_simulation::deliver(host& to, const message& m) {
     message seen = m;
-    seen.provisional = m.provisional && settings_.injected != fault::hides_provisional;
+    seen.provisional = m.provisional && settings_.injected != fault::ignores_provisional;
     if (settings_.injected == fault::acknowledges_unstored && m.kind == message_kind::append_request &&
         !m.entries.empty() && to.id.name != "a") {
         message reply;
@@ -106,14 +107,14 @@
     handle(to, to.node->receive(seen, now_));
 }
 
-void fake_network::tick(host& it) {
+void group_simulation::tick(host& it) {
     if (it.up() && !it.paused) {
         handle(it, it.node->tick(now_));
         replace_lost_voters(it);
     }
 }
 
-void fake_network::handle(host& it, const effects& out) {
+void group_simulation::handle(host& it, const effects& out) {
     for (const message& m : out.messages) {
         send(m);
     }
@@ -122,7 +123,7 @@
     compact(it);
 }
 
-void fake_network::send(const message& m) {
+void group_simulation::send(const message& m) {
     if (chance(settings_.drop) || is_cut(m.from.name, m.to.name)) {
         return;
     }
@@ -132,22 +133,22 @@
     }
 }
 
-void fake_network::enqueue(const message& m) {
+void group_simulation::enqueue(const message& m) {
     const auto range = static_cast<std::uint64_t>((settings_.max_delay - settings_.min_delay).count()) + 1;
     const duration delay = settings_.min_delay + duration(static_cast<std::int64_t>(random_() % range));
     events_.push({now_ + delay, ++sequence_, "", m});
 }
 
-bool fake_network::is_cut(const std::string& from, const std::string& to) const {
+bool group_simulation::is_cut(const std::string& from, const std::string& to) const {
     return !cuts_.empty() &&
            (cuts_.contains({from, to}) || cuts_.contains({from, "*"}) || cuts_.contains({"*", to}));
 }
 
-bool fake_network::chance(double probability) {
+bool group_simulation::chance(double probability) {
     return probability > 0 && std::uniform_real_distribution<double>(0, 1)(random_) < probability;
 }
 
-void fake_network::apply(host& it, const effects& out) {
+void group_simulation::apply(host& it, const effects& out) {
     if (out.install) {
         it.state = machine_state::decode(out.install->data);
         it.applied = out.install->index;
@@ -155,7 +156,7 @@
     }
     for (const storage::entry& entry : out.committed) {
         it.state.apply(entry);
-        if (settings_.injected == fault::changes_state && it.id.name == "b" && entry.index % 5 == 0) {
+        if (settings_.injected == fault::applies_twice && it.id.name == "b" && entry.index % 5 == 0) {
             it.state.apply(entry);
         }
         it.applied = entry.index;
@@ -164,7 +165,7 @@
     }
 }
 
-void fake_network::acknowledge(const host& it, const storage::entry& committed) {
+void group_simulation::acknowledge(const host& it, const storage::entry& committed) {
     const auto at = proposed_.find(committed.index);
     if (at == proposed_.end() || it.node->current_role() != role::leader) {
         return;
@@ -175,7 +176,7 @@
     proposed_.erase(at);
 }
 
-void fake_network::check_leadership(host& it) {
+void group_simulation::check_leadership(host& it) {
     const bool leads = it.node->current_role() == role::leader;
     if (!leads) {
         return;
@@ -189,13 +190,13 @@
     checks_.on_lease(it.id, term, it.node->leadership_valid_until());
 }
 
-void fake_network::compact(host& it) {
+void group_simulation::compact(host& it) {
     if (settings_.compact_after != 0 && it.applied >= it.disk->first_index() + settings_.compact_after) {
         it.node->compact(it.applied, it.state.encode());
     }
 }
 
-void fake_network::replace_lost_voters(host& it) {
+void group_simulation::replace_lost_voters(host& it) {
     if (!replacement_ || it.node->current_role() != role::leader) {
         return;
     }
@@ -219,7 +220,7 @@
     handle(it, out);
 }
 
-std::string fake_network::leader() const {
+std::string group_simulation::leader() const {
     std::string best;
     std::uint64_t term = 0;
     for (const auto& [name, it] : hosts_) {
@@ -231,7 +232,7 @@
     return best;
 }
 
-void fake_network::kill(const std::string& name) {
+void group_simulation::kill(const std::string& name) {
     if (settings_.elect_after_restart) {
         checks_.on_stopped(at(name).id);
     }
@@ -239,7 +240,7 @@
     at(name).queued.clear();
 }
 
-void fake_network::restart(const std::string& name, bool lost_disk) {
+void group_simulation::restart(const std::string& name, bool lost_disk) {
     host& it = at(name);
     kill(name);
     if (lost_disk || !settings_.disks) {
@@ -252,13 +253,13 @@
         }
         it.disk = std::move(empty);
     }
-    if (settings_.injected == fault::forgets_fsync) {
+    if (settings_.injected == fault::skips_fsync) {
         it.disk->truncate_after(std::max<std::uint64_t>(it.disk->last_index(), 4) - 3);
     }
     start(it);
 }
 
-void fake_network::resume(const std::string& name) {
+void group_simulation::resume(const std::string& name) {
     host& it = at(name);
     it.paused = false;
     const auto queued = std::exchange(it.queued, {});
@@ -269,13 +270,13 @@
     }
 }
 
-void fake_network::set_losses(double drop, double duplicate, duration max_delay) {
+void group_simulation::set_losses(double drop, double duplicate, duration max_delay) {
     settings_.drop = drop;
     settings_.duplicate = duplicate;
     settings_.max_delay = max_delay;
 }
 
-bool fake_network::propose() {
+bool group_simulation::propose() {
     const std::string name = leader();
     if (name.empty()) {
         return false;
@@ -294,7 +295,7 @@
     return true;
 }
 
-bool fake_network::change(const membership_change& wanted) {
+bool group_simulation::change(const membership_change& wanted) {
     const std::string name = leader();
     if (name.empty()) {
         return false;
--- a/tests/consensus/fake_network.h
+++ b/tests/consensus/group_simulation.h
@@ -14,16 +14,17 @@
 /// Bugs that a test injects to show that the checker detects them.
 enum class fault {
     none,
-    forgets_fsync,      ///< a restart loses the last entries, as if fsync had not been called
-    keeps_identity,     ///< a diskless voter restarts empty under its old identity
-    acknowledges_early, ///< commands are acknowledged before they are committed
-    forgets_leader, ///< a restarted voter votes at once, though it may have confirmed a leader just before
-    acknowledges_unstored, ///< followers confirm entries without storing them
-    changes_state,         ///< the state machine of one node applies some commands twice
-    hides_provisional,     ///< candidates count provisional votes as full ones
+    skips_fsync,               ///< a restart loses the last entries, as if fsync had not been called
+    keeps_identity,            ///< a diskless voter restarts empty under its old identity
+    acknowledges_early,        ///< commands are acknowledged before they are committed
+    votes_right_after_restart, ///< a restarted voter votes at once, though it may have confirmed a leader
+                               ///< just before
+    acknowledges_unstored,     ///< followers confirm entries without storing them
+    applies_twice,             ///< the state machine of one node applies some commands twice
+    ignores_provisional,       ///< candidates count provisional votes as full ones
 };
 
-struct network_options {
+struct group_options {
     std::size_t voters = 3;
     std::size_t spares = 0;
     bool disks = true;
@@ -38,7 +39,7 @@
 };
 
 /// A group of nodes in virtual time, with a network and hosts that fail on demand.
-class fake_network {
+class group_simulation {
 public:
     struct host {
         consensus::member_id id;
@@ -51,7 +52,7 @@
         bool up() const { return node != nullptr; }
     };
 
-    explicit fake_network(const network_options& settings);
+    explicit group_simulation(const group_options& settings);
 
     void run(duration length);
     /// Runs until @p done returns true, for at most @p limit.
@@ -112,7 +113,7 @@
     void replace_lost_voters(host& it);
     bool chance(double probability);
 
-    network_options settings_;
+    group_options settings_;
     std::mt19937_64 random_;
     time_point now_{std::chrono::seconds(1000)};
     std::map<std::string, host> hosts_;
--- a/tests/consensus/random_test.cpp
+++ b/tests/consensus/random_test.cpp
@@ -1,4 +1,4 @@
-#include "fake_network.h"
+#include "group_simulation.h"
 
 #include <doctest/doctest.h>
 
@@ -9,79 +9,79 @@
 namespace {
 
 /// Injects or repairs one random fault; at most a minority is down at a time.
-void inject_random_fault(fake_network& net, std::mt19937_64& random, bool allow_lost_disk) {
+void inject_random_fault(group_simulation& group, std::mt19937_64& random, bool allow_lost_disk) {
     std::vector<std::string> names;
     std::size_t down = 0;
-    for (const auto& [name, it] : net.hosts()) {
+    for (const auto& [name, it] : group.hosts()) {
         names.push_back(name);
         down += it.up() && !it.paused ? 0 : 1;
     }
     const std::string name = names[random() % names.size()];
     const std::string other = names[random() % names.size()];
-    fake_network::host& it = net.at(name);
+    group_simulation::host& it = group.at(name);
     switch (random() % 8) {
     case 0:
     case 1:
         if (!it.up()) {
-            net.restart(name, allow_lost_disk);
+            group.restart(name, allow_lost_disk);
         } else if (down < (names.size() - 1) / 2) {
-            net.kill(name);
+            group.kill(name);
         }
         break;
     case 2:
         if (it.up()) {
-            net.restart(name, allow_lost_disk);
+            group.restart(name, allow_lost_disk);
         }
         break;
     case 3:
         if (it.paused) {
-            net.resume(name);
+            group.resume(name);
         } else if (it.up() && down < (names.size() - 1) / 2) {
-            net.pause(name);
+            group.pause(name);
         }
         break;
     case 4:
-        net.cut(name, other);
+        group.cut(name, other);
         break;
     case 5:
-        net.cut(name, "*");
+        group.cut(name, "*");
         break;
     default:
-        net.heal();
+        group.heal();
     }
 }
 
 /// Injects random faults for several virtual seconds while commands are proposed, then repairs them all.
 /// @param restart_all whether some faults restart all members at once
-void run_random(fake_network& net, std::uint64_t seed, bool allow_lost_disk, bool restart_all = false) {
+void run_random(group_simulation& group, std::uint64_t seed, bool allow_lost_disk, bool restart_all = false) {
     std::mt19937_64 random(seed);
     for (int n = 0; n < 150; ++n) {
-        net.run(duration(static_cast<std::int64_t>(random() % 60000)));
-        net.propose();
+        group.run(duration(static_cast<std::int64_t>(random() % 60000)));
+        group.propose();
         if (restart_all && random() % 12 == 0) {
-            for (const auto& [name, it] : net.hosts()) {
-                net.restart(name, false);
+            for (const auto& [name, it] : group.hosts()) {
+                group.restart(name, false);
             }
         } else if (random() % 3 == 0) {
-            inject_random_fault(net, random, allow_lost_disk);
+            inject_random_fault(group, random, allow_lost_disk);
         }
     }
-    net.heal();
-    net.set_losses(0, 0, 3ms);
-    for (const auto& [name, it] : net.hosts()) {
+    group.heal();
+    group.set_losses(0, 0, 3ms);
+    for (const auto& [name, it] : group.hosts()) {
         if (!it.up()) {
-            net.restart(name, false);
+            group.restart(name, false);
         }
-        net.resume(name);
+        group.resume(name);
     }
-    net.run(2s);
-    net.propose();
-    net.run(500ms);
-    net.checks().finish();
+    group.run(2s);
+    group.propose();
+    group.run(500ms);
+    group.checks().finish();
 }
 
-network_options lossy_network(std::uint64_t seed, std::size_t voters) {
-    network_options settings;
+group_options lossy_group(std::uint64_t seed, std::size_t voters) {
+    group_options settings;
     settings.voters = voters;
     settings.seed = seed;
     settings.max_delay = 40ms;
@@ -94,13 +94,13 @@
 /// True if the checker reports @p kind in one of @p runs runs.
 bool detects(fault injected, violation kind, bool disks, int runs) {
     for (int seed = 1; seed <= runs; ++seed) {
-        network_options settings = lossy_network(static_cast<std::uint64_t>(seed), 3);
+        group_options settings = lossy_group(static_cast<std::uint64_t>(seed), 3);
         settings.injected = injected;
         settings.disks = disks;
         settings.compact_after = 0;
-        fake_network net(settings);
-        run_random(net, static_cast<std::uint64_t>(seed), false);
-        if (net.checks().found(kind)) {
+        group_simulation group(settings);
+        run_random(group, static_cast<std::uint64_t>(seed), false);
+        if (group.checks().found(kind)) {
             return true;
         }
     }
@@ -115,17 +115,17 @@
         for (std::uint64_t seed = 1; seed <= 200; ++seed) {
             CAPTURE(voters);
             CAPTURE(seed);
-            fake_network net(lossy_network(seed, voters));
-            run_random(net, seed, false);
-            CHECK(net.checks().clean());
-            CHECK_FALSE(net.leader().empty());
-            total += net.checks().acknowledged();
-            const std::size_t before = net.checks().acknowledged();
+            group_simulation group(lossy_group(seed, voters));
+            run_random(group, seed, false);
+            CHECK(group.checks().clean());
+            CHECK_FALSE(group.leader().empty());
+            total += group.checks().acknowledged();
+            const std::size_t before = group.checks().acknowledged();
             for (int n = 0; n < 20; ++n) {
-                CHECK(net.propose());
+                CHECK(group.propose());
             }
-            net.run(500ms);
-            CHECK(net.checks().acknowledged() == before + 20);
+            group.run(500ms);
+            CHECK(group.checks().acknowledged() == before + 20);
         }
         CHECK(total > 200 * 10);
     }
@@ -137,14 +137,14 @@
         for (std::uint64_t seed = 1; seed <= 100; ++seed) {
             CAPTURE(disks);
             CAPTURE(seed);
-            network_options settings = lossy_network(seed, 3);
+            group_options settings = lossy_group(seed, 3);
             settings.spares = 2;
             settings.disks = disks;
-            fake_network net(settings);
-            net.enable_replacement({3, 300ms});
-            run_random(net, seed, true);
-            CHECK(net.checks().clean());
-            changes += net.changes_started();
+            group_simulation group(settings);
+            group.enable_replacement({3, 300ms});
+            run_random(group, seed, true);
+            CHECK(group.checks().clean());
+            changes += group.changes_started();
         }
         // A run may lose the majority permanently, so the number of changes is checked over all runs.
         CHECK(changes > 200);
@@ -157,53 +157,53 @@
         for (std::uint64_t seed = 1; seed <= 200; ++seed) {
             CAPTURE(voters);
             CAPTURE(seed);
-            network_options settings = lossy_network(seed, voters);
+            group_options settings = lossy_group(seed, voters);
             settings.elect_after_restart = true;
-            fake_network net(settings);
-            run_random(net, seed, false, true);
-            CHECK(net.checks().clean());
-            CHECK_FALSE(net.leader().empty());
+            group_simulation group(settings);
+            run_random(group, seed, false, true);
+            CHECK(group.checks().clean());
+            CHECK_FALSE(group.leader().empty());
         }
     }
 }
 
 TEST_CASE("a restarted voter does not help elect a new leader while the old leader's lease is valid") {
     const auto violates_lease = [](fault injected) {
-        network_options settings;
+        group_options settings;
         settings.elect_after_restart = true;
         settings.injected = injected;
-        fake_network net(settings);
-        net.run(2s);
-        const std::string leader = net.leader();
+        group_simulation group(settings);
+        group.run(2s);
+        const std::string leader = group.leader();
         REQUIRE_FALSE(leader.empty());
         std::vector<std::string> others;
-        for (const auto& [name, it] : net.hosts()) {
+        for (const auto& [name, it] : group.hosts()) {
             if (name != leader) {
                 others.push_back(name);
             }
         }
         // One follower is cut off from the leader and requests votes; the other one confirms the leader and
         // restarts.
-        net.cut(leader, others[0]);
-        net.cut(others[0], leader);
-        net.run(1s);
-        REQUIRE(net.leader() == leader);
+        group.cut(leader, others[0]);
+        group.cut(others[0], leader);
+        group.run(1s);
+        REQUIRE(group.leader() == leader);
         // The vote request must arrive before the leader's next heartbeat, so the restart is repeated.
         for (int n = 0; n < 40; ++n) {
-            net.restart(others[1], false);
-            net.run(137ms);
+            group.restart(others[1], false);
+            group.run(137ms);
         }
-        return net.checks().found(violation::overlapping_lease);
+        return group.checks().found(violation::overlapping_lease);
     };
     CHECK_FALSE(violates_lease(fault::none));
-    CHECK(violates_lease(fault::hides_provisional));
+    CHECK(violates_lease(fault::ignores_provisional));
 }
 
 TEST_CASE("the checker detects injected bugs in random runs") {
     SUBCASE("a missing fsync loses committed entries") {
-        CHECK(detects(fault::forgets_fsync, violation::committed_entry_changed, true, 60));
-        CHECK(detects(fault::forgets_fsync, violation::incomplete_leader, true, 60));
-        CHECK(detects(fault::forgets_fsync, violation::lost_command, true, 60));
+        CHECK(detects(fault::skips_fsync, violation::committed_entry_changed, true, 60));
+        CHECK(detects(fault::skips_fsync, violation::incomplete_leader, true, 60));
+        CHECK(detects(fault::skips_fsync, violation::lost_command, true, 60));
     }
     SUBCASE("a diskless voter that keeps its identity loses committed entries") {
         CHECK(detects(fault::keeps_identity, violation::incomplete_leader, false, 60));
@@ -212,12 +212,12 @@
         CHECK(detects(fault::acknowledges_early, violation::lost_command, true, 60));
     }
     SUBCASE("a voter that votes right after its restart causes overlapping leases") {
-        CHECK(detects(fault::forgets_leader, violation::overlapping_lease, true, 60));
+        CHECK(detects(fault::votes_right_after_restart, violation::overlapping_lease, true, 60));
     }
     SUBCASE("followers that confirm entries without storing them lose committed entries") {
         CHECK(detects(fault::acknowledges_unstored, violation::incomplete_leader, true, 60));
     }
     SUBCASE("a state machine that applies a command twice diverges") {
-        CHECK(detects(fault::changes_state, violation::diverged_state, true, 5));
+        CHECK(detects(fault::applies_twice, violation::diverged_state, true, 5));
     }
 }
--- a/tests/consensus/scenario_test.cpp
+++ b/tests/consensus/scenario_test.cpp
@@ -1,4 +1,4 @@
-#include "fake_network.h"
+#include "group_simulation.h"
 
 #include "support/scenario.h"
 
@@ -13,8 +13,8 @@
 
 namespace {
 
-network_options options_of(const scenario& script) {
-    network_options result;
+group_options options_of(const scenario& script) {
+    group_options result;
     result.seed = script.seed;
     result.voters = static_cast<std::size_t>(toml::find_or(script.setup, "voters", 3));
     result.spares = static_cast<std::size_t>(toml::find_or(script.setup, "spares", 0));
@@ -29,18 +29,18 @@
 /// later steps.
 class interpreter {
 public:
-    explicit interpreter(const scenario& script) : net_(options_of(script)) {}
+    explicit interpreter(const scenario& script) : group_(options_of(script)) {}
 
     void run(const scenario_step& step) {
         step_ = &step;
         const auto it = verbs_.find(step.verb);
         REQUIRE_MESSAGE(it != verbs_.end(), "unknown verb " << step.verb);
         (this->*it->second)();
-        CHECK(net_.checks().clean());
+        CHECK(group_.checks().clean());
     }
     void finish() {
-        net_.checks().finish();
-        CHECK(net_.checks().clean());
+        group_.checks().finish();
+        CHECK(group_.checks().clean());
     }
 
 private:
@@ -58,15 +58,15 @@
         if (!alias.empty()) {
             names_[alias] = name;
         }
-        REQUIRE_MESSAGE((name == "*" || net_.hosts().contains(name)), "unknown host " << text);
+        REQUIRE_MESSAGE((name == "*" || group_.hosts().contains(name)), "unknown host " << text);
         return name;
     }
     std::string resolve_role(const std::string& text) {
-        const std::string leader = net_.leader();
+        const std::string leader = group_.leader();
         REQUIRE_FALSE(leader.empty());
         std::vector<std::string> others;
-        for (const auto& id : net_.at(leader).node->members().voters) {
-            const auto& it = net_.at(id.name);
+        for (const auto& id : group_.at(leader).node->members().voters) {
+            const auto& it = group_.at(id.name);
             if (id.name != leader && it.up() && !it.paused && it.id == id) {
                 others.push_back(id.name);
             }
@@ -77,61 +77,61 @@
         return std::chrono::milliseconds(step_->number(key, fallback));
     }
 
-    void do_run() { net_.run(ms("ms", 100)); }
+    void do_run() { group_.run(ms("ms", 100)); }
     void do_propose() {
         const auto count = step_->number("count", 1);
-        const std::size_t before = net_.checks().acknowledged();
+        const std::size_t before = group_.checks().acknowledged();
         for (std::int64_t n = 0; n < count; ++n) {
-            CHECK(net_.propose());
-            net_.run(ms("every_ms", 2));
+            CHECK(group_.propose());
+            group_.run(ms("every_ms", 2));
         }
         const auto wanted = before + static_cast<std::size_t>(step_->number("acknowledged", count));
-        net_.run_until([&] { return net_.checks().acknowledged() >= wanted; }, ms("within_ms", 300));
-        CHECK(net_.checks().acknowledged() == wanted);
+        group_.run_until([&] { return group_.checks().acknowledged() >= wanted; }, ms("within_ms", 300));
+        CHECK(group_.checks().acknowledged() == wanted);
     }
-    void do_kill() { net_.kill(resolve_host()); }
-    void do_restart() { net_.restart(resolve_host(), step_->text("disk", "kept") == "lost"); }
-    void do_pause() { net_.pause(resolve_host()); }
-    void do_resume() { net_.resume(resolve_host()); }
+    void do_kill() { group_.kill(resolve_host()); }
+    void do_restart() { group_.restart(resolve_host(), step_->text("disk", "kept") == "lost"); }
+    void do_pause() { group_.pause(resolve_host()); }
+    void do_resume() { group_.resume(resolve_host()); }
     void do_cut() {
         const std::string from = resolve_host("from");
-        net_.cut(from, resolve_host("to"));
+        group_.cut(from, resolve_host("to"));
     }
     void do_isolate() {
         const std::string name = resolve_host();
-        net_.cut(name, "*");
-        net_.cut("*", name);
+        group_.cut(name, "*");
+        group_.cut("*", name);
     }
-    void do_heal() { net_.heal(); }
+    void do_heal() { group_.heal(); }
     void do_replace() {
-        net_.enable_replacement(
+        group_.enable_replacement(
             {static_cast<std::size_t>(step_->number("voters", 3)), ms("lost_after_ms", 500)});
     }
     bool change() {
         static const std::map<std::string, change_kind> kinds{{"add_learner", change_kind::add_learner},
                                                               {"promote", change_kind::promote},
                                                               {"remove", change_kind::remove}};
-        return net_.change({kinds.at(step_->text("kind")), net_.at(resolve_host()).id});
+        return group_.change({kinds.at(step_->text("kind")), group_.at(resolve_host()).id});
     }
     void do_change() { CHECK(change()); }
     void do_refuse_change() { CHECK_FALSE(change()); }
     void do_await_leader() {
         const std::string except = step_->text("not");
         const auto elected = [&] {
-            const std::string name = net_.leader();
+            const std::string name = group_.leader();
             return !name.empty() && (!names_.contains(except) || name != names_.at(except)) &&
-                   net_.at(name).node->leadership_valid_until() > net_.now();
+                   group_.at(name).node->leadership_valid_until() > group_.now();
         };
-        CHECK(net_.run_until(elected, ms("within_ms", 1000)));
+        CHECK(group_.run_until(elected, ms("within_ms", 1000)));
     }
-    void do_expect_no_leader() { CHECK(net_.leader().empty()); }
+    void do_expect_no_leader() { CHECK(group_.leader().empty()); }
     void do_remember_leader() {
-        remembered_ = net_.leader();
-        remembered_term_ = net_.at(remembered_).node->term();
+        remembered_ = group_.leader();
+        remembered_term_ = group_.at(remembered_).node->term();
     }
     void do_expect_same_leader() {
-        CHECK(net_.leader() == remembered_);
-        CHECK(net_.at(remembered_).node->term() == remembered_term_);
+        CHECK(group_.leader() == remembered_);
+        CHECK(group_.at(remembered_).node->term() == remembered_term_);
     }
     void do_await_voters() {
         std::vector<std::string> wanted = step_->list("hosts");
@@ -140,29 +140,29 @@
         }
         std::sort(wanted.begin(), wanted.end());
         const auto reached = [&] {
-            const std::string name = net_.leader();
-            return !name.empty() && voters(name) == wanted && !net_.at(name).node->change_in_progress();
+            const std::string name = group_.leader();
+            return !name.empty() && voters(name) == wanted && !group_.at(name).node->change_in_progress();
         };
-        CHECK(net_.run_until(reached, ms("within_ms", 2000)));
+        CHECK(group_.run_until(reached, ms("within_ms", 2000)));
     }
     /// Sorted names of the voters; " (old)" marks an incarnation that no longer runs.
     std::vector<std::string> voters(const std::string& name) {
         std::vector<std::string> result;
-        for (const auto& id : net_.at(name).node->members().voters) {
-            result.push_back(net_.at(id.name).id == id ? id.name : id.name + " (old)");
+        for (const auto& id : group_.at(name).node->members().voters) {
+            result.push_back(group_.at(id.name).id == id ? id.name : id.name + " (old)");
         }
         std::sort(result.begin(), result.end());
         return result;
     }
     void do_expect_equal() {
-        const auto leader = net_.leader();
+        const auto leader = group_.leader();
         REQUIRE_FALSE(leader.empty());
-        for (const auto& id : net_.at(leader).node->members().voters) {
-            CHECK(net_.at(id.name).state == net_.at(leader).state);
+        for (const auto& id : group_.at(leader).node->members().voters) {
+            CHECK(group_.at(id.name).state == group_.at(leader).state);
         }
     }
 
-    fake_network net_;
+    group_simulation group_;
     const scenario_step* step_ = nullptr;
     std::map<std::string, std::string> names_;
     std::string remembered_;
