--- a/tests/consensus/random_test.cpp
+++ b/tests/consensus/random_test.cpp
@@ -151,8 +151,9 @@
     }
 }
 
-// Guards against two valid leases: a restarted voter may have confirmed a leader just before its restart.
-TEST_CASE("elections right after restarts violate no invariant and overlap no lease") {
+// Guards against two valid leases: a voter may have confirmed a leader just before it restarted and votes for
+// another one.
+TEST_CASE("elections right after restarts violate no invariant, and no two leases overlap") {
     for (const std::size_t voters : {3U, 5U}) {
         for (std::uint64_t seed = 1; seed <= 200; ++seed) {
             CAPTURE(voters);
@@ -188,7 +189,8 @@
         group.cut(others[0], leader);
         group.run(1s);
         REQUIRE(group.leader() == leader);
-        // The vote request must arrive before the leader's next heartbeat, so the restart is repeated.
+        // The vote request must arrive between a restart and the leader's next heartbeat, so the restart is
+        // repeated.
         for (int n = 0; n < 40; ++n) {
             group.restart(others[1], false);
             group.run(137ms);
