--- a/tests/consensus/replacement_test.cpp
+++ b/tests/consensus/replacement_test.cpp
@@ -63,7 +63,7 @@
         CHECK(decision(view("abc", "d", "c", "e", "d")) == "none");
         CHECK(decision(view("abc", "d", "c", "e")) == "promote d");
     }
-    SUBCASE("then the lost voter is removed") {
+    SUBCASE("the lost voter is removed after the promotion") {
         CHECK(decision(view("abcd", "", "c", "e")) == "remove c");
     }
     SUBCASE("a lost learner is removed before the next spare is added") {
@@ -77,7 +77,7 @@
     }
 }
 
-TEST_CASE("no change is started that could lose the quorum") {
+TEST_CASE("no change is started that could leave the group without a live majority") {
     SUBCASE("without a majority nothing is changed") {
         CHECK(decision(view("abc", "", "bc", "de")) == "none");
     }
