--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -36,8 +36,8 @@
     }
     votes = {settings.self};
     provisional_votes = votes_provisionally();
-    // Other voters may have heard from the leader up to a heartbeat later, so an election can become possible
-    // within a heartbeat. Waiting a whole election timeout before the next attempt would delay it.
+    // Other voters may have heard from the leader up to a heartbeat later than this one, and vote once that
+    // is an election timeout ago. A retry after a whole election timeout would delay the election.
     schedule_retry(1);
     if (has_won()) {
         start_election();
@@ -46,7 +46,6 @@
     request_votes(message_kind::pre_vote_request, persistent.term + 1);
 }
 
-/// Schedules the next attempt after one heartbeat interval plus a random time of up to @p spread intervals.
 void node::state::schedule_retry(std::uint64_t spread) {
     const auto range = static_cast<std::uint64_t>(settings.heartbeat_interval.count()) * spread + 1;
     deadline = now + settings.heartbeat_interval + duration(static_cast<std::int64_t>(random() % range));
@@ -59,8 +58,8 @@
     save_term_and_vote(persistent.term + 1, encode_vote(settings.self));
     votes = {settings.self};
     provisional_votes = votes_provisionally();
-    // Split votes are common among two live voters. Waiting an election timeout after one made elections with
-    // three voters take more than 400 ms.
+    // Split votes are frequent while only two voters are live. Waiting an election timeout after a split vote
+    // made elections with three voters take more than 400 ms.
     schedule_retry(2);
     if (has_won()) {
         become_leader();
--- a/src/consensus/state.h
+++ b/src/consensus/state.h
@@ -48,6 +48,8 @@
     }
     bool up_to_date(const message& candidate) const;
     void start_pre_vote();
+    /// Schedules the next attempt after one heartbeat interval plus a random time of up to @p spread
+    /// intervals.
     void schedule_retry(std::uint64_t spread);
     void start_election();
     void request_votes(message_kind kind, std::uint64_t term);
@@ -99,7 +101,7 @@
     std::uint64_t commit = 0;
     std::uint64_t applied = 0;      ///< highest index returned in effects
     time_point now;                 ///< time of the event being handled
-    time_point deadline;            ///< when the next pre-vote starts
+    time_point deadline;            ///< election deadline: when the next pre-vote starts
     time_point leader_contact;      ///< no vote is granted for an election timeout after this
     bool heard_since_start = false; ///< a leader's message arrived since the start
     /// Memberships with the index of their entry; the last one is in effect, committed or not.
