--- a/src/consensus/node.cpp
+++ b/src/consensus/node.cpp
@@ -78,8 +78,8 @@
         return;
     }
     if (before == role::leader) {
-        // Clients may rely on the lease of this leadership, so the former leader must not vote before its
-        // end.
+        // The lease of this leadership may still be relied on, so the former leader must not vote before the
+        // lease ends.
         leader_contact = now;
     }
     if (before != role::follower) {
