--- a/include/kingcupseam/consensus.h
+++ b/include/kingcupseam/consensus.h
@@ -66,14 +66,15 @@
     duration heartbeat_interval = std::chrono::milliseconds(50);
     /// Each election timeout is random, between this and twice this.
     duration election_timeout = std::chrono::milliseconds(200);
-    /// Lets voters elect a leader within an election timeout of their restart if all of them agree. A
-    /// leader's lease then ends with its process, so nothing that outlives the process may rely on it.
+    /// Lets voters elect a leader within an election timeout of their restart if all voters grant their
+    /// votes. A leader's lease then ends with its process, so nothing that outlives the process may rely on
+    /// it.
     bool elect_after_restart = false;
     std::size_t max_append_bytes = std::size_t{256} * 1024;
     std::uint64_t seed = 1;
 };
 
-/// What the caller of node must do after an event, in this order: send the messages, install the snapshot,
+/// What the user of a node must do after an event, in this order: send the messages, install the snapshot,
 /// apply the entries. The first event after a restart installs the stored snapshot; later entries follow once
 /// they are known to be committed.
 struct effects {
@@ -146,7 +147,7 @@
     /// timeout, less a tenth for clock drift, after the last heartbeat round that a quorum confirmed was
     /// sent. time_point{} if this node is not the leader.
     time_point leadership_valid_until() const noexcept;
-    /// When the leader last heard from another member, or else when its leadership or that member's
+    /// When this leader last heard from another member; before that, when its leadership or that member's
     /// membership began. Empty for any other id, and if this node is not the leader.
     std::optional<time_point> last_contact(const member_id& member) const;
 
