--- a/tests/consensus/scenario_test.cpp
+++ b/tests/consensus/scenario_test.cpp
@@ -27,9 +27,9 @@
 /// Executes the steps of a scenario. Hosts are named a, b, c, ...; "leader" is the current leader, "other"
 /// and "third" are the first and second running voter besides it. A step's "as" gives its host a name for
 /// later steps.
-class interpreter {
+class scenario_runner {
 public:
-    explicit interpreter(const scenario& script) : group_(options_of(script)) {}
+    explicit scenario_runner(const scenario& script) : group_(options_of(script)) {}
 
     void run(const scenario_step& step) {
         step_ = &step;
@@ -44,7 +44,7 @@
     }
 
 private:
-    using verb = void (interpreter::*)();
+    using verb = void (scenario_runner::*)();
 
     std::string resolve_host(const std::string& key = "host") {
         const std::string text = step_->text(key);
@@ -168,24 +168,24 @@
     std::string remembered_;
     std::uint64_t remembered_term_ = 0;
     const std::map<std::string, verb> verbs_{
-        {"run", &interpreter::do_run},
-        {"propose", &interpreter::do_propose},
-        {"kill", &interpreter::do_kill},
-        {"restart", &interpreter::do_restart},
-        {"pause", &interpreter::do_pause},
-        {"resume", &interpreter::do_resume},
-        {"cut", &interpreter::do_cut},
-        {"isolate", &interpreter::do_isolate},
-        {"heal", &interpreter::do_heal},
-        {"replace", &interpreter::do_replace},
-        {"change", &interpreter::do_change},
-        {"refuse_change", &interpreter::do_refuse_change},
-        {"await_leader", &interpreter::do_await_leader},
-        {"expect_no_leader", &interpreter::do_expect_no_leader},
-        {"remember_leader", &interpreter::do_remember_leader},
-        {"expect_same_leader", &interpreter::do_expect_same_leader},
-        {"await_voters", &interpreter::do_await_voters},
-        {"expect_equal", &interpreter::do_expect_equal},
+        {"run", &scenario_runner::do_run},
+        {"propose", &scenario_runner::do_propose},
+        {"kill", &scenario_runner::do_kill},
+        {"restart", &scenario_runner::do_restart},
+        {"pause", &scenario_runner::do_pause},
+        {"resume", &scenario_runner::do_resume},
+        {"cut", &scenario_runner::do_cut},
+        {"isolate", &scenario_runner::do_isolate},
+        {"heal", &scenario_runner::do_heal},
+        {"replace", &scenario_runner::do_replace},
+        {"change", &scenario_runner::do_change},
+        {"refuse_change", &scenario_runner::do_refuse_change},
+        {"await_leader", &scenario_runner::do_await_leader},
+        {"expect_no_leader", &scenario_runner::do_expect_no_leader},
+        {"remember_leader", &scenario_runner::do_remember_leader},
+        {"expect_same_leader", &scenario_runner::do_expect_same_leader},
+        {"await_voters", &scenario_runner::do_await_voters},
+        {"expect_equal", &scenario_runner::do_expect_equal},
     };
 };
 
@@ -198,7 +198,7 @@
         const scenario script = load_scenario(file);
         SUBCASE(script.name.c_str()) {
             CAPTURE(script.guards);
-            interpreter it(script);
+            scenario_runner it(script);
             for (std::size_t n = 0; n < script.steps.size(); ++n) {
                 CAPTURE(n);
                 CAPTURE(script.steps[n].verb);
