--- a/benchmark/storage_append.cpp
+++ b/benchmark/storage_append.cpp
@@ -11,7 +11,9 @@
 
 namespace {
 
-void run(const std::filesystem::path& folder, std::size_t bytes, std::size_t batch, std::size_t rounds) {
+/// Appends @p rounds batches of @p batch entries of @p bytes each and prints the times.
+void measure_appends(const std::filesystem::path& folder, std::size_t bytes, std::size_t batch,
+                     std::size_t rounds) {
     const auto store = storage::open_file_log_store(folder);
     std::vector<std::int64_t> times;
     for (std::size_t n = 0; n < rounds; ++n) {
@@ -25,10 +27,11 @@
         times.push_back((steady_now() - begin).count());
     }
     std::sort(times.begin(), times.end());
-    const auto at = [&](double q) {
+    const auto quantile = [&](double q) {
         return static_cast<long long>(times[static_cast<std::size_t>(q * static_cast<double>(rounds - 1))]);
     };
-    std::printf("%8zu %6zu %8zu %10lld %10lld %10lld\n", bytes, batch, rounds, at(0.5), at(0.99), at(1));
+    std::printf("%8zu %6zu %8zu %10lld %10lld %10lld\n", bytes, batch, rounds, quantile(0.5), quantile(0.99),
+                quantile(1));
     std::filesystem::remove_all(folder);
 }
 
@@ -41,7 +44,7 @@
                 "median", "p99", "max");
     for (const std::size_t bytes : {100U, 1000U, 10000U}) {
         for (const std::size_t batch : {1U, 16U}) {
-            run(base / "kcs_bench_storage", bytes, batch, 1000);
+            measure_appends(base / "kcs_bench_storage", bytes, batch, 1000);
         }
     }
 }
