--- a/benchmark/ownership_balance.cpp
+++ b/benchmark/ownership_balance.cpp
@@ -16,21 +16,22 @@
 const std::string service_name = "registry";
 bool failed = false;
 
+/// A data centre whose upstreams are active and whose grants end at once.
 struct cluster {
     assignment_state state{"dc1", 1};
     std::uint64_t index = 0;
     std::uint32_t shards;
-    std::unique_ptr<planner> plans;
+    std::unique_ptr<planner> active_planner;
     cluster_view view;
     std::size_t moved = 0;
     std::size_t keys_moved = 0;
-    std::size_t delta_bytes = 0;
+    std::size_t delta_bytes = 0; ///< encoded size of the applied commands
     double slowest_plan_ms = 0;
 
     explicit cluster(std::uint32_t count) : shards(count) {
         planner_options settings;
         settings.ramp = duration::zero();
-        plans = make_fewest_moves_planner(settings);
+        active_planner = make_fewest_moves_planner(settings);
         for (int n = 0; n < 10; ++n) {
             view.live_instances.insert("instance-" + std::to_string(n));
         }
@@ -56,7 +57,7 @@
         slowest_plan_ms = 0;
         for (bool busy = true; busy;) {
             const auto begin = steady_now();
-            const auto commands = plans->plan(rows(), view, time_point(std::chrono::hours(1)));
+            const auto commands = active_planner->plan(rows(), view, time_point(std::chrono::hours(1)));
             slowest_plan_ms =
                 std::max(slowest_plan_ms, static_cast<double>((steady_now() - begin).count()) / 1000);
             busy = !commands.empty();
--- a/tests/ownership/planner_test.cpp
+++ b/tests/ownership/planner_test.cpp
@@ -17,7 +17,7 @@
     assignment_state state{"dc1", 1};
     std::uint64_t index = 0;
     planner_options settings;
-    std::unique_ptr<planner> plans;
+    std::unique_ptr<planner> active_planner;
     cluster_view view;
     time_point now = start;
     std::uint32_t shards_moved = 0;
@@ -26,7 +26,7 @@
 
     group() {
         settings.ramp = duration::zero();
-        plans = make_fewest_moves_planner(settings);
+        active_planner = make_fewest_moves_planner(settings);
         view.live_instances = {"i1", "i2", "i3"};
     }
     const table& rows() const { return *state.current(); }
@@ -43,7 +43,7 @@
     }
     /// Makes one plan and applies it. @returns the number of its commands
     std::size_t plan() {
-        const auto commands = plans->plan(rows(), view, now);
+        const auto commands = active_planner->plan(rows(), view, now);
         for (const auto& it : commands) {
             if (const auto* move = std::get_if<begin_move>(&it)) {
                 shards_moved += static_cast<std::uint32_t>(move->shards.size());
@@ -144,7 +144,7 @@
 TEST_CASE("a joining upstream with cold caches gets its share in steps") {
     group it;
     it.settings.ramp = 5s;
-    it.plans = make_fewest_moves_planner(it.settings);
+    it.active_planner = make_fewest_moves_planner(it.settings);
     it.announce("a");
     it.announce("b");
     it.settle();
