--- a/src/ownership/register_change.cpp
+++ b/src/ownership/register_change.cpp
@@ -69,8 +69,8 @@
     return true;
 }
 
-// Acknowledgements are recorded by name. An incarnation that returns after a later one has registered would
-// be credited with the acknowledgements of the later one, so it stays lost.
+// Acknowledgements of grants are recorded by upstream name. An incarnation that announces itself after a
+// later one has registered would be credited with the acknowledgements of the later one, so it stays lost.
 bool assignment_change::is_superseded(const upstream_row& announced) const {
     const auto* latest = rows_.latest_row(announced.name);
     return latest != nullptr && latest->incarnation != announced.incarnation &&
@@ -203,8 +203,8 @@
     const bool had_windows = !groups[change.group].replicas.empty();
     groups[change.group] = change.replicas;
     if (had_windows) {
-        // The new epoch makes gates read the windows again. What they read from the former replicas may lack
-        // records that the new replicas hold.
+        // The new epoch makes gates read the ledger windows again. What they have read from the former
+        // replicas may lack records that the new replicas hold.
         for (auto& row : rows_.upstreams) {
             row.epoch = row.condition == upstream_status::lost ? row.epoch : epoch_;
         }
