--- a/src/ownership/assignment_change.h
+++ b/src/ownership/assignment_change.h
@@ -19,10 +19,13 @@
     bool apply(const set_ledger_group& change);
 
 private:
+    /// Creates the service if it is missing. @returns false if that is impossible without a number of shards
     bool create_service(const register_upstream& change);
     bool update_row(upstream_row& row, const upstream_row& announced);
     void add_row(const upstream_row& announced);
+    /// True if a later incarnation of the upstream has registered.
     bool is_superseded(const upstream_row& announced) const;
+    /// Index for a new row: a lost one that may be reused, or else the end of the list.
     std::uint32_t free_index(const std::string& name) const;
     /// Index of the row of @p upstream that is not lost; no_upstream when @p service has none.
     std::uint32_t target_index(const std::string& service, const std::string& upstream) const;
