--- a/src/ownership/plan_instances.cpp
+++ b/src/ownership/plan_instances.cpp
@@ -32,6 +32,8 @@
     return counts;
 }
 
+/// Planned gate and standby of one upstream. The functions below take one of these roles as @p role, and the
+/// other one, which must be another instance, as @p other.
 struct gate_choice {
     const upstream_row* row = nullptr;
     std::string gate;
