--- a/include/kingcupseam/ownership.h
+++ b/include/kingcupseam/ownership.h
@@ -315,10 +315,12 @@
     /// Handles a grant. @param granted the keys that it covers; required if @p version differs from version()
     reply receive(epoch_number epoch, epoch_number version, duration lease, const std::string& token,
                   const std::optional<scope>& granted, time_point now);
+    /// @returns why a request of @p key that was dispatched under @p epoch must not run now; none if it may
     grant_refusal check(epoch_number epoch, std::uint32_t shard, const std::string& key,
                         time_point now) const;
     epoch_number epoch() const noexcept;
     epoch_number version() const noexcept;
+    /// End of the lease.
     time_point live_until() const noexcept;
 
 private:
