--- a/tests/ownership/simulation.h
+++ b/tests/ownership/simulation.h
@@ -80,7 +80,7 @@
     };
     struct report {
         std::uint64_t table_version = 0;
-        duration remaining{};
+        duration remaining{}; ///< time until the last grant of the gate to the upstream ends
         time_point received;
     };
     struct gate {
@@ -111,7 +111,7 @@
         bool present = true;
         time_point elected_at{};
         std::unique_ptr<planner> active_planner;
-        std::map<std::string, time_point> gate_bound;
+        std::map<std::string, time_point> gate_bound; ///< latest end of each gate's lease
         std::map<std::string, time_point> last_contact;
         std::map<std::pair<std::string, std::string>, report> reports; ///< by gate and upstream
         std::map<std::string, epoch_number> acknowledged;
