--- a/tests/ownership/planner_test.cpp
+++ b/tests/ownership/planner_test.cpp
@@ -88,7 +88,7 @@
         CHECK(it.count("d") == 32);
         CHECK(it.shards_moved == 32);
     }
-    SUBCASE("the shards of a lost upstream move only after the end of its grant, and no others") {
+    SUBCASE("only the shards of a lost upstream move, and only after the end of its grant") {
         it.view.grant_may_live_until["a"] = start + 100ms;
         it.apply(set_condition{"a", 1, upstream_status::lost});
         it.settle();
