--- a/tests/ownership/assignment_test.cpp
+++ b/tests/ownership/assignment_test.cpp
@@ -25,7 +25,8 @@
 
     bool apply(const command& change) { return state.apply(change, ++index); }
     const table& rows() const { return *state.current(); }
-    void own(const std::string& upstream, const std::vector<std::uint32_t>& shards) {
+    /// Moves shards to an upstream at once.
+    void assign(const std::string& upstream, const std::vector<std::uint32_t>& shards) {
         apply(begin_move{"registry", shards, {}, upstream});
         apply(complete_move{"registry", shards, {}, upstream});
     }
@@ -47,7 +48,7 @@
     command_log it;
     it.apply(announce("a", 1));
     it.apply(announce("b", 1));
-    it.own("a", {0, 1, 2, 3});
+    it.assign("a", {0, 1, 2, 3});
     REQUIRE(it.rows().owner_of("registry", 1, "k")->name == "a");
     const auto before = it.rows();
 
@@ -92,14 +93,14 @@
     command_log it;
     it.apply(announce("a", 1));
     it.apply(announce("b", 1));
-    it.own("a", {0, 1});
+    it.assign("a", {0, 1});
     const auto epoch = it.rows().latest_row("a")->epoch;
     REQUIRE(it.apply(set_condition{"a", 1, upstream_status::lost}));
     CHECK(it.rows().owner_of("registry", 0, "k") == nullptr);
     CHECK(scope_of(it.rows(), it.rows().upstreams[0]).empty());
     CHECK_FALSE(it.apply(set_condition{"a", 1, upstream_status::active}));
 
-    SUBCASE("a report from before it registered again does not make it lost again") {
+    SUBCASE("a report of the loss from before it registered again is ignored") {
         const auto lost_epoch = it.rows().latest_row("a")->epoch;
         REQUIRE(it.apply(announce("a", 1)));
         CHECK_FALSE(it.apply(set_condition{"a", 1, upstream_status::lost, lost_epoch}));
@@ -110,12 +111,13 @@
         CHECK(it.rows().latest_row("a")->epoch > epoch);
         CHECK(it.rows().owner_of("registry", 0, "k")->name == "a");
     }
-    SUBCASE("a new incarnation starts without shards; the former one keeps its row until its shards moved") {
+    SUBCASE(
+        "a new incarnation starts without shards; the former one keeps its row until its shards have moved") {
         REQUIRE(it.apply(announce("a", 2)));
         CHECK(it.rows().latest_row("a")->incarnation == 2);
         CHECK(scope_of(it.rows(), *it.rows().latest_row("a")).empty());
         CHECK(it.rows().owner_of("registry", 0, "k") == nullptr);
-        it.own("b", {0, 1});
+        it.assign("b", {0, 1});
         REQUIRE(it.apply(announce("c", 1)));
         CHECK(it.rows().upstreams.size() == 3);
         CHECK(it.rows().upstreams[0].name == "c");
@@ -131,7 +133,7 @@
     command_log it;
     it.apply(announce("a", 1));
     it.apply(announce("b", 1));
-    it.own("a", {0, 1, 2, 3, 4, 5, 6, 7});
+    it.assign("a", {0, 1, 2, 3, 4, 5, 6, 7});
     const auto key = key_in(5);
     REQUIRE(it.apply(begin_move{"registry", {}, {key}, "b"}));
     CHECK(it.rows().owner_of("registry", 5, key) == nullptr);
@@ -156,7 +158,7 @@
 TEST_CASE("shards that are placed in another data centre have no owner here") {
     command_log it;
     it.apply(announce("a", 1));
-    it.own("a", {0, 1});
+    it.assign("a", {0, 1});
     REQUIRE(it.apply(set_placement{"registry", {0}}));
     CHECK(it.rows().owner_of("registry", 0, "k")->name == "a");
     CHECK(it.rows().owner_of("registry", 1, "k") == nullptr);
@@ -234,7 +236,7 @@
 TEST_CASE("bytes from the network that are not a table or command are refused") {
     command_log it;
     it.apply(announce("a", 1));
-    it.own("a", {0, 1});
+    it.assign("a", {0, 1});
     const auto bytes = encode(it.rows());
     const auto change = encode(command{begin_move{"registry", {1, 2}, {"k"}, "a"}});
     for (std::size_t n = 0; n < bytes.size(); ++n) {
@@ -257,7 +259,7 @@
     }
 }
 
-// Guards against new shards for a draining upstream after the late report of a grant that it accepted before.
+// Guards against new shards for a draining upstream because of a late report that it accepted a grant.
 TEST_CASE("only an announcement as active ends a drain") {
     command_log it;
     it.apply(announce("a", 1));
