--- a/tests/ownership/scenario_test.cpp
+++ b/tests/ownership/scenario_test.cpp
@@ -77,11 +77,12 @@
         } else if (it.verb == "hot_key") {
             simulation_.set_hot_keys({{service_name, name, 500}, {service_name, it.text("second"), 400}});
         } else {
-            wait(it);
+            run_or_expect(it);
         }
     }
 
-    void wait(const kingcupseam::test::scenario_step& it) {
+    /// Runs the simulation for a time, or until an expectation holds.
+    void run_or_expect(const kingcupseam::test::scenario_step& it) {
         const auto name = it.text("name");
         auto within = ms(it.number("within_ms", 1000));
         if (it.verb == "run") {
@@ -94,8 +95,8 @@
             expect(simulation_.run_until(
                 [&] { return simulation_.owned_by(name) == 0 && !simulation_.moving(); }, within));
         } else if (it.verb == "expect_owned") {
-            // Two missed renewals mark an upstream as lost, whatever the reason; it then has to register
-            // again.
+            // Two missed renewals mark an upstream as lost, whatever their reason. It then has to register
+            // again, so the expectation gets more time.
             if (simulation_.missed_renewals(name)) {
                 within = std::max(within, ms(it.number("after_missed_renewals_ms", 0)));
             }
