--- a/tests/ownership/simulation_processes.cpp
+++ b/tests/ownership/simulation_processes.cpp
@@ -271,13 +271,13 @@
         return;
     }
     const auto now = local_time(it.local);
-    const bool ignore_epochs = options_.injected.ignore_epochs;
-    const auto epoch = ignore_epochs ? std::max(sent.epoch, it.holder.epoch() + 1) : sent.epoch;
-    const auto version = ignore_epochs ? std::max(sent.version, it.holder.version() + 1) : sent.version;
+    const bool force_acceptance = options_.injected.ignore_epochs;
+    const auto epoch = force_acceptance ? std::max(sent.epoch, it.holder.epoch() + 1) : sent.epoch;
+    const auto version = force_acceptance ? std::max(sent.version, it.holder.version() + 1) : sent.version;
     const bool use_new_token = options_.injected.lease_from_receipt && !sent.token.empty();
     const auto token = use_new_token ? it.holder.issue_token(now) : sent.token;
     std::optional<grant_scope> granted;
-    if (sent.with_shards || ignore_epochs) {
+    if (sent.with_shards || force_acceptance) {
         granted = sent.revoke ? grant_scope{} : scope;
     }
     const auto answer = it.holder.receive(epoch, version, sent.lease, token, granted, now);
