--- a/src/storage/record.cpp
+++ b/src/storage/record.cpp
@@ -95,7 +95,7 @@
 void apply(log_image& image, reader& in, bool first) {
     const auto kind = static_cast<record_kind>(in.number(1));
     if (first != (kind == record_kind::identity)) {
-        in.fail("an identity record must come first, and only there");
+        in.fail("the first record, and no other, must be an identity record");
     }
     switch (kind) {
     case record_kind::identity:
@@ -145,7 +145,7 @@
 }
 
 /// True if an intact record header follows the damaged record. A crash can damage only the last write, and
-/// each write is one record, so the damaged record was acknowledged then.
+/// each write is one record, so a damaged record that is followed by another one had been acknowledged.
 bool header_follows(std::string_view content, std::uint64_t damaged, std::uint64_t identity) {
     std::uint64_t from = damaged + 1;
     if (header_valid(content, damaged, identity + damaged)) {
