--- a/src/storage/log_image.h
+++ b/src/storage/log_image.h
@@ -10,8 +10,8 @@
 struct log_image {
     std::uint64_t identity = 0;
     hard_state state;
-    std::optional<snapshot> base;
-    std::deque<entry> entries; ///< after base
+    std::optional<snapshot> base; ///< state before the first entry
+    std::deque<entry> entries;
 
     std::uint64_t base_index() const { return base ? base->index : 0; }
     std::uint64_t last_index() const { return base_index() + entries.size(); }
@@ -21,6 +21,7 @@
     bool continues(std::span<const entry> batch) const;
     void append(std::span<const entry> batch);
     void truncate_after(std::uint64_t index);
+    /// Replaces the snapshot, and removes the entries that it covers or that do not continue it.
     void install(const snapshot& next);
 };
 
