--- a/src/storage/file_log_store.cpp
+++ b/src/storage/file_log_store.cpp
@@ -90,7 +90,7 @@
         if (size_ < content.size()) {
             file_->truncate(size_);
         }
-        // A process that was killed before its fsync may have left what was read only in the page cache.
+        // What was read may be only in the page cache, if a process was killed before its fsync.
         file_->sync();
         files_->sync_folder(folder_);
     }
