--- a/tests/storage/crash_test.cpp
+++ b/tests/storage/crash_test.cpp
@@ -96,7 +96,7 @@
     return result;
 }
 
-/// Number of crash points at which acknowledged data was lost.
+/// Number of crash points, over several workloads, at which acknowledged data was lost.
 int count_lost_data(bool ignores_sync) {
     int lost = 0;
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -172,7 +172,7 @@
 
 namespace {
 
-/// Frees space after some retries.
+/// Frees space at the given retry.
 class freeing_policy final : public full_disk_policy {
 public:
     freeing_policy(fake_disk& disk, int tries_until_room) : disk_(disk), left_(tries_until_room) {}
@@ -196,7 +196,7 @@
 
 } // namespace
 
-// Guards against a control instance that stops and is restarted over and over while its disk is full.
+// Guards against a control instance that stops and restarts repeatedly while its disk is full.
 TEST_CASE("a store with a full_disk_policy waits until a full disk has space") {
     fake_disk disk;
     const auto policy = std::make_shared<freeing_policy>(disk, 3);
