--- a/tests/storage/storage_test.cpp
+++ b/tests/storage/storage_test.cpp
@@ -68,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("memory and file stores handle logs and snapshots alike") {
+TEST_CASE("memory and file stores follow the same rules for logs and snapshots") {
     SUBCASE("in memory") {
         check_log_rules(*make_memory_log_store(7));
     }
@@ -147,7 +147,7 @@
     }
 }
 
-TEST_CASE("record bytes inside user data do not make an incomplete last write look like corruption") {
+TEST_CASE("user data that contains records does not make an incomplete last write look like corruption") {
     const temporary_folder folder;
     const auto file = folder.path / "log";
     auto store = open_file_log_store(folder.path);
