--- a/fuzz/storage_log_reader.cpp
+++ b/fuzz/storage_log_reader.cpp
@@ -1,3 +1,4 @@
+// Opens a store on arbitrary log files: the input as it is, and pieces of it as valid records.
 #include "storage/file_log_store.h"
 #include "storage/record.h"
 
