--- a/include/kingcupseam/transport.h
+++ b/include/kingcupseam/transport.h
@@ -62,7 +62,7 @@
     auto operator<=>(const frame&) const = default;
 };
 
-/// A frame or payload that violates docs/protocol.md. The connection that it came from is closed.
+/// A frame or payload that violates docs/protocol.md. The connection on which it arrived is closed.
 class malformed_frame : public error {
 public:
     using error::error;
@@ -77,7 +77,8 @@
     /// @returns the next frame; empty if none is complete
     /// @throws malformed_frame on an unknown type or a length out of range
     std::optional<frame> next();
-    /// Removes and returns the bytes after the last frame that next() returned.
+    /// Removes and returns the bytes after the last frame that next() returned, to expand them if the peer
+    /// compresses what follows its hello.
     std::string take_rest();
 
 private:
@@ -98,18 +99,18 @@
     duration heartbeat_timeout = std::chrono::milliseconds(400);
     duration connect_timeout = std::chrono::milliseconds(300);
     duration redial_delay = std::chrono::milliseconds(50);
-    duration unacknowledged_limit =
-        std::chrono::seconds(3); ///< closes a connection on which the peer acknowledges no data for this long
+    /// Closes a connection on which the peer's TCP acknowledges no data for this long.
+    duration unacknowledged_limit = std::chrono::seconds(3);
     std::size_t max_unsent_bytes = 32 * 1024 * 1024;
     std::size_t read_buffer_bytes = 16 * 1024;
-    /// Compresses what this side sends, which its hello announces to the peer.
+    /// Compresses what this side sends. Its hello tells the peer so.
     bool compress = false;
     /// False for links that are mostly idle: the dialling side sends heartbeats and detects silence only
     /// while requests are pending, and the accepting side replies to each heartbeat.
     bool heartbeat_when_idle = true;
 };
 
-/// Identity of a peer, from its hello.
+/// Identity of a peer, from its hello frame.
 struct peer_identity {
     instance_id id;
     std::string data_center;
