--- a/src/transport/link.cpp
+++ b/src/transport/link.cpp
@@ -16,7 +16,6 @@
 
     state(asio::io_context& io, endpoint_address remote_address, peer_identity self_identity,
           link_options link_settings, frame_handler handler)
-
         : context(io), remote(std::move(remote_address)), self(std::move(self_identity)),
           settings(link_settings), on_frame(std::move(handler)), redial_timer(context),
           deadline_timer(context) {}
@@ -29,6 +28,8 @@
     std::uint64_t request(frame outgoing, duration timeout, std::function<void(reply)> done);
     void abandon(std::uint64_t correlation);
     void update_silence_detection();
+    /// Fails all pending requests. Those whose frames were not among the first @p handed_to_socket of the
+    /// connection were not sent.
     void fail_pending(std::uint64_t handed_to_socket);
     void arm_deadline();
     void expire(time_point now);
