--- a/tests/transport/link_test.cpp
+++ b/tests/transport/link_test.cpp
@@ -36,7 +36,7 @@
     return {{name, 1}, "north"};
 }
 
-/// A peer that accepts connections, sends its hello and then nothing more.
+/// A peer that accepts connections and sends only its hello.
 struct silent_peer {
     explicit silent_peer(asio::io_context& context)
         : acceptor(context, {asio::ip::make_address(listen_address.ip), listen_address.port}) {
@@ -111,7 +111,7 @@
         CHECK(result->failure == link_failure::lost);
         CHECK(run_until(context, [&] { return peer.accepted >= 2 && to_peer.up(); }));
     }
-    SUBCASE("a request without a reply in time fails as timeout") {
+    SUBCASE("a request whose reply does not arrive in time fails as timeout") {
         peer_server peer(context, listen_address, identity("b"), {}, [](const auto&, const frame&) {});
         peer_link to_peer(context, listen_address, identity("a"), {}, nullptr);
         REQUIRE(run_until(context, [&] { return to_peer.up(); }));
