--- a/src/storage/log_image.h
+++ b/src/storage/log_image.h
@@ -21,7 +21,7 @@
     bool continues(std::span<const entry> batch) const;
     void append(std::span<const entry> batch);
     void truncate_after(std::uint64_t index);
-    /// Replaces the snapshot, and removes the entries that it covers or that do not continue it.
+    /// Replaces the snapshot, and removes the entries that it covers, or all if they do not continue it.
     void install(const snapshot& next);
 };
 
