--- a/include/kingcupseam/ownership.h
+++ b/include/kingcupseam/ownership.h
@@ -214,8 +214,8 @@
 
 struct planner_options {
     duration ramp = std::chrono::seconds(5); ///< time in which a cold upstream reaches its full weight
-    std::uint32_t ramp_steps = 5;
-    std::uint32_t max_hot_key_moves = 10; ///< per hot_key_period
+    std::uint32_t ramp_steps = 5;            ///< steps in which the weight rises
+    std::uint32_t max_hot_key_moves = 10;    ///< per hot_key_period
     duration hot_key_period = std::chrono::seconds(10);
     std::uint32_t ledger_group_count = 16;
     std::uint32_t ledger_replicas = 3;
@@ -249,9 +249,9 @@
         epoch_number epoch = 0;
         epoch_number version = 0;
         duration lease{};
-        std::string token;
-        bool with_shards = false;
-        bool revoke = false;
+        std::string token;        ///< empty: the grant has no lease
+        bool with_shards = false; ///< the upstream may not have this version, so the push lists its shards
+        bool revoke = false;      ///< the list of shards is empty
     };
 
     grant_issuer(duration lease, duration interval);
@@ -299,13 +299,22 @@
 };
 
 /// Why an upstream refuses to run a key.
-enum class grant_refusal : std::uint8_t { none, no_lease, lower_epoch, not_granted };
+enum class grant_refusal : std::uint8_t {
+    none,
+    no_lease,    ///< the lease has ended
+    lower_epoch, ///< the request was dispatched under a lower epoch than that of the grant
+    not_granted  ///< the grant does not cover the key, or has a lower epoch than the request
+};
 
 /// The upstream's side of the grant protocol, for embedding in upstreams.
 class grant_holder {
 public:
     using scope = grant_scope;
-    enum class reply : std::uint8_t { accepted, lower_epoch, shards_missing };
+    enum class reply : std::uint8_t {
+        accepted,
+        lower_epoch,   ///< a grant of a higher epoch or version was received before
+        shards_missing ///< the version is new, and the grant does not list its shards
+    };
 
     explicit grant_holder(std::uint64_t seed);
 
