--- a/include/kingcupseam/ledger.h
+++ b/include/kingcupseam/ledger.h
@@ -43,14 +43,14 @@
 
 struct write_result {
     bool accepted = false;
-    std::uint64_t fenced_epoch = 0;
+    std::uint64_t fenced_epoch = 0; ///< highest epoch that the replica has seen for the shard
     std::optional<record> existing; ///< the replica's record of the key before the write
 };
 
 struct fence_result {
     bool accepted = false;
-    std::uint64_t fenced_epoch = 0;
-    std::vector<record> window;
+    std::uint64_t fenced_epoch = 0; ///< as in write_result
+    std::vector<record> window;     ///< all records of the shard
 };
 
 /// Records of one shard at one replica.
@@ -80,7 +80,8 @@
     /// `begun` in the same epoch; `answered` replaces both; `not_run` replaces `begun` of the same epoch, but
     /// not of a later attempt. An answer that is too long is refused, so its record stays `begun`.
     write_result write(const record& wanted, time_point now);
-    /// Raises the epoch of the shard, so that writes of lower epochs are refused, and returns its window.
+    /// Raises the epoch of the shard, so that writes of lower epochs are refused, and returns its window. The
+    /// wire protocol calls this a seal.
     fence_result fence(const std::string& service, std::uint32_t shard, std::uint64_t epoch, time_point now);
     /// Merges windows copied from the other replicas; the replica is ready afterwards. A record at a majority
     /// of three may remain at only one of the other two, so @p windows must contain the windows of both. They
@@ -119,7 +120,7 @@
 
 struct decision {
     verdict result = verdict::unavailable;
-    std::optional<record> known;
+    std::optional<record> known; ///< record of the key that the decision is based on, if any
 };
 
 /// A write or fence for one replica. The caller sends it and reports the reply to the writer.
