--- a/include/kingcupseam/admission.h
+++ b/include/kingcupseam/admission.h
@@ -76,8 +76,8 @@
 std::unique_ptr<queue> make_fifo_queue(const queue_options& settings);
 
 struct retry_policy {
-    double budget_fraction = 0.1; ///< retries as a fraction of first attempts
-    std::uint32_t min_per_second = 3;
+    double budget_fraction = 0.1;     ///< retries as a fraction of first attempts
+    std::uint32_t min_per_second = 3; ///< retries in a second that are allowed beyond the fraction
     duration first_backoff = std::chrono::milliseconds(5);
     duration max_backoff = std::chrono::milliseconds(100);
     std::uint32_t max_attempts = 3;
@@ -135,11 +135,17 @@
 /// reports about itself can only lower it.
 class upstream_health {
 public:
-    enum class status : std::uint8_t { healthy, degraded, silent_connection, frozen, dead };
+    enum class status : std::uint8_t {
+        healthy,
+        degraded,          ///< requests fail, or the upstream reports overload or bad health
+        silent_connection, ///< answers probes on new connections, but not requests on an old one
+        frozen,            ///< does not answer probes
+        dead               ///< refuses connections
+    };
     struct options {
         duration silence_before_probe = std::chrono::milliseconds(250);
         duration probe_timeout = std::chrono::milliseconds(300);
-        std::uint32_t refused_before_dead = 2;
+        std::uint32_t refused_before_dead = 2; ///< refused connections in a row
     };
 
     upstream_health(options settings, time_point now);
