--- a/src/admission/priority_queue.cpp
+++ b/src/admission/priority_queue.cpp
@@ -270,12 +270,12 @@
 
     std::array<rank_policy, rank_count> ranks_;
     slot_meter meter_;
-    service_estimate overall_;
+    service_estimate overall_; ///< of all ranks, for ranks with too few samples
     std::array<service_estimate, rank_count> estimates_;
     std::array<std::deque<queued_request>, rank_count> waiting_;
     std::array<std::uint32_t, rank_count> running_by_rank_{};
-    std::array<double, rank_count> credit_{};
-    std::array<double, rank_count> usage_{};
+    std::array<double, rank_count> credit_{}; ///< microseconds of slot time
+    std::array<double, rank_count> usage_{};  ///< moving average of the fraction of the slots in use
     std::unordered_map<std::uint64_t, running_request> running_;
     bool exclusive_running_ = false;
     bool started_ = false;
