--- a/src/admission/fifo_queue.cpp
+++ b/src/admission/fifo_queue.cpp
@@ -94,7 +94,7 @@
     slot_meter meter_;
     std::size_t max_waiting_ = 0;
     std::deque<queued_request> waiting_;
-    std::unordered_map<std::uint64_t, bool> running_;
+    std::unordered_map<std::uint64_t, bool> running_; ///< whether each running request is exclusive
     bool exclusive_running_ = false;
     bool started_ = false;
     time_point advanced_to_{time_point::min()};
