--- a/tests/admission/queue_test.cpp
+++ b/tests/admission/queue_test.cpp
@@ -46,6 +46,7 @@
 
 } // namespace
 
+// Guards against a flood of one rank that takes the slot time guaranteed to the others.
 TEST_CASE("a queue serves urgent requests first and keeps the guaranteed shares of the other ranks") {
     const auto tested = make_priority_queue_with_shares(options(1, 0, 0));
     SUBCASE("without shares the order is by rank, then by arrival") {
@@ -90,6 +91,8 @@
     }
 }
 
+// Guards against requests that wait although it is clear on arrival that they will miss their deadline, and
+// against refusing requests that can be served.
 TEST_CASE("a queue refuses at once what cannot be served in time") {
     const auto tested = make_priority_queue_with_shares(options(2, 0.25, 0));
     SUBCASE("each rank has its own queue limit, so a flood of one rank does not get the others refused") {
@@ -182,6 +185,8 @@
     }
 }
 
+// Guards against more load than the health of an upstream allows, and against a crash that cannot be
+// attributed to one request.
 TEST_CASE("slots may be fractional and a suspected poison request runs alone") {
     SUBCASE("a fractional number of slots is used in full on average") {
         for (const double slots : {0.5, 1.3, 2.0}) {
