--- a/tests/admission/resilience_test.cpp
+++ b/tests/admission/resilience_test.cpp
@@ -12,6 +12,7 @@
 const time_point start{100s};
 } // namespace
 
+// Guards against retries that multiply the load of a failing upstream.
 TEST_CASE("retries are a bounded fraction of first attempts") {
     retry_budget tested({0.1, 2, 5ms, 100ms, 3}, 1);
     SUBCASE("a failing upstream does not multiply the load") {
@@ -55,6 +56,8 @@
     }
 }
 
+// Guards against a request that crashes one upstream after another, and against refusing other requests that
+// were in flight with it.
 TEST_CASE("a request that crashes upstreams is refused after two crashes") {
     poison_request_list tested(2, 10min, 4);
     SUBCASE("a request that ran alone is suspected after one crash and refused after two") {
@@ -113,6 +116,8 @@
     }
 }
 
+// Guards against sending requests to a frozen or dead upstream, and against an upstream that keeps its
+// traffic by reporting a low load.
 TEST_CASE("health follows outcomes, and reports only lower it") {
     upstream_health tested({}, start);
     const time_point warm = start + 10s;
