--- a/tests/consensus/node_test.cpp
+++ b/tests/consensus/node_test.cpp
@@ -84,6 +84,7 @@
 
 } // namespace
 
+// Guards against two leaders in one term.
 TEST_CASE("a voter keeps its vote across a restart") {
     checker checks;
     elect_during_restart(checks, true);
@@ -96,6 +97,7 @@
     CHECK(checks.found(violation::two_leaders_in_term));
 }
 
+// Guards against a group that waits for replies although it has no other voter.
 TEST_CASE("a group with one voter commits at once and has a lease") {
     const auto store = voter_store({{a}, {}});
     node it(settings_of(a), *store, at(0ms));
@@ -109,6 +111,8 @@
     CHECK(out.committed.front().data == "x");
 }
 
+// Guards against taking over a term or entries from another group, for another incarnation, or from malformed
+// messages.
 TEST_CASE("messages for another member and malformed messages are ignored") {
     const auto store = voter_store({{a, b}, {}});
     node it(settings_of(a), *store, at(0ms));
@@ -135,6 +139,8 @@
     CHECK_FALSE(it.leader().has_value());
 }
 
+// Guards against commands that a follower accepts, and against membership changes that do not apply to the
+// group.
 TEST_CASE("only the leader accepts commands and membership changes, and it rejects invalid changes") {
     const auto store = voter_store({{a}, {}});
     node it(settings_of(a), *store, at(0ms));
@@ -152,6 +158,7 @@
                     change_refused); // b has no entries yet
 }
 
+// Guards against a leader that is cut off and remains leader.
 TEST_CASE("a leader without a quorum steps down within an election timeout") {
     const auto store = voter_store({{a, b, c}, {}});
     node it(settings_of(a), *store, at(0ms));
@@ -172,6 +179,7 @@
     CHECK(it.current_role() == role::follower);
 }
 
+// Guards against damaged bytes that are read as another membership.
 TEST_CASE("an encoded membership decodes to itself, and damaged bytes are refused") {
     const membership members{{a, b}, {c}};
     const std::string bytes = encode(members);
@@ -183,6 +191,7 @@
     CHECK_THROWS_AS(decode_membership(bytes + "x"), invalid_input);
 }
 
+// Guards against a snapshot that covers entries that are not applied, or that loses the membership.
 TEST_CASE("compaction keeps the membership and only accepts applied entries") {
     const auto store = voter_store({{a}, {}});
     {
