--- a/tests/consensus/random_test.cpp
+++ b/tests/consensus/random_test.cpp
@@ -109,6 +109,7 @@
 
 } // namespace
 
+// The invariants are the kinds of violation in checker.h, such as two leaders in a term or a lost command.
 TEST_CASE("random crashes, pauses, network cuts and message losses violate no invariant") {
     for (const std::size_t voters : {3U, 5U}) {
         std::size_t total = 0;
@@ -131,6 +132,7 @@
     }
 }
 
+// Guards against a replacement that relies on a voter that has lost its disk.
 TEST_CASE("automatic replacement of voters under random faults and lost disks violates no invariant") {
     for (const bool disks : {true, false}) {
         std::size_t changes = 0;
@@ -201,6 +203,7 @@
     CHECK(violates_lease(fault::ignores_provisional));
 }
 
+// Guards against a checker that would pass a broken implementation.
 TEST_CASE("the checker detects injected bugs in random runs") {
     SUBCASE("a missing fsync loses committed entries") {
         CHECK(detects(fault::skips_fsync, violation::committed_entry_changed, true, 60));
