--- a/tests/consensus/replacement_test.cpp
+++ b/tests/consensus/replacement_test.cpp
@@ -49,6 +49,7 @@
 
 } // namespace
 
+// Guards against a lost voter that remains a voter, so that the next loss stops the group.
 TEST_CASE("a lost voter is replaced one change at a time") {
     SUBCASE("nothing changes while all voters are live") {
         CHECK(decision(view("abc", "", "", "de")) == "none");
@@ -77,6 +78,7 @@
     }
 }
 
+// Guards against a membership change that cannot be committed, or after which one more loss stops the group.
 TEST_CASE("no change is started that could leave the group without a live majority") {
     SUBCASE("without a majority nothing is changed") {
         CHECK(decision(view("abc", "", "bc", "de")) == "none");
@@ -93,6 +95,7 @@
     }
 }
 
+// Guards against a group that stays too small or too large.
 TEST_CASE("voters are added or removed until the configured number is reached") {
     CHECK(decision(view("abc", "", "", "de"), 5) == "add d");
     CHECK(decision(view("abc", "d", "", "e"), 5) == "promote d");
