--- a/tests/consensus/scenario_test.cpp
+++ b/tests/consensus/scenario_test.cpp
@@ -191,6 +191,7 @@
 
 } // namespace
 
+// Each tests/scenarios/consensus_*.toml states the failure that it guards against.
 TEST_CASE("scripted consensus scenarios") {
     const auto files = scenarios_of("consensus");
     CHECK(files.size() >= 10);
