--- a/tests/ledger/random_test.cpp
+++ b/tests/ledger/random_test.cpp
@@ -109,6 +109,7 @@
     CHECK(not_run > 500);
 }
 
+// Guards against checks that would pass a broken ledger.
 TEST_CASE("the checks detect injected bugs") {
     simulation_options settings = faulty_network();
     SUBCASE("replicas that ignore the epoch let a replaced gate run a key again") {
