--- a/tests/ledger/replica_test.cpp
+++ b/tests/ledger/replica_test.cpp
@@ -29,6 +29,7 @@
 
 } // namespace
 
+// Guards against a replaced gate or a delayed message that overwrites what a later gate must know.
 TEST_CASE("a replica keeps the records that a later gate depends on") {
     replica tested({});
     SUBCASE("a write below the fenced epoch is refused, so that a replaced gate cannot record anything") {
@@ -67,6 +68,7 @@
     }
 }
 
+// Guards against a second run of a key whose record was dropped to make space.
 TEST_CASE("a full replica refuses writes and drops no record early") {
     replica_options settings;
     settings.max_records = 3;
@@ -106,6 +108,7 @@
     }
 }
 
+// Guards against a majority that includes a replica without its records.
 TEST_CASE("a replica that lost its records serves only after the windows of the others are installed") {
     replica tested({}, replica_start::awaiting_install);
     CHECK_FALSE(tested.write(begun(1, 1), start).accepted);
@@ -129,6 +132,7 @@
     }
 }
 
+// Guards against an age of a key that is derived from bytes that are not a time.
 TEST_CASE("the creation time is read from UUIDv7 keys only") {
     const auto at = creation_time("018f2c3a-1b2c-7def-8123-456789abcdef");
     REQUIRE(at);
