--- a/tests/ledger/scenario_test.cpp
+++ b/tests/ledger/scenario_test.cpp
@@ -93,6 +93,7 @@
 
 } // namespace
 
+// Each tests/scenarios/ledger_*.toml states the failure that it guards against.
 TEST_CASE("scripted ledger scenarios") {
     const auto files = scenarios_of("ledger");
     CHECK(files.size() >= 7);
