--- a/tests/ledger/writer_test.cpp
+++ b/tests/ledger/writer_test.cpp
@@ -48,6 +48,7 @@
 
 } // namespace
 
+// Guards against a dispatch without a majority, or after the attempt was reported as failed.
 TEST_CASE("the writer counts each replica once and never resumes a failed attempt") {
     fenced_writer it;
     const auto writes = it.begin(make("k"));
@@ -128,6 +129,7 @@
     }
 }
 
+// Guards against a second run of a key through a duplicate or a resend.
 TEST_CASE("duplicates get the recorded result, and a key whose result could not be recorded is in doubt") {
     fenced_writer it;
     record result = make("first");
@@ -192,6 +194,7 @@
     }
 }
 
+// Guards against a callback that invalidates an operation which the writer still uses.
 TEST_CASE("a callback may call the writer again") {
     writer tested(30ms);
     bool recorded = false;
@@ -210,6 +213,7 @@
     CHECK(recorded);
 }
 
+// Guards against a dispatch that no replica has recorded.
 TEST_CASE("without replicas nothing is dispatched and the key is in doubt") {
     writer tested(30ms);
     std::optional<decision> decisions;
@@ -222,8 +226,8 @@
     CHECK_FALSE(decisions->known);
 }
 
+// Guards against reporting `not-run` for a request that is refused early although its key ran before.
 TEST_CASE("look_up() finds the outcome of a key and records nothing") {
-    // Guards against reporting `not-run` for a request that is refused early although its key ran before.
     fenced_writer it;
     const auto look_up = [&](const record& wanted) {
         it.decisions.clear();
@@ -304,8 +308,8 @@
     }
 }
 
+// Guards against a second run of a key whose record was dropped under a shorter retention.
 TEST_CASE("a longer retention extends existing records, and the guaranteed age of keys grows with time") {
-    // Guards against a second run of a key whose record was dropped under a shorter retention.
     SUBCASE("replica") {
         replica tested({.retention = 10s});
         CHECK(tested.write(make("k"), start).accepted);
