--- a/tests/membership/detector_test.cpp
+++ b/tests/membership/detector_test.cpp
@@ -33,6 +33,7 @@
 
 } // namespace
 
+// Guards against an instance that some members never learn of.
 TEST_CASE("instances find each other through their seeds") {
     group it(12);
     it.net.start(12);
@@ -73,6 +74,8 @@
     }
 }
 
+// Guards against an instance that stays dead for the others after a pause, or that declares the others dead
+// because of it.
 TEST_CASE("an instance that was paused returns and refutes its death") {
     group it(12);
     it.net.pause(7, true);
@@ -108,6 +111,7 @@
     CHECK(it.seen(status::dead, "i7") == 0);
 }
 
+// Guards against a group that stays split after the network has recovered.
 TEST_CASE("both sides of a partition merge after it heals") {
     group it(20);
     it.net.split(8);
