--- a/tests/ownership/assignment_test.cpp
+++ b/tests/ownership/assignment_test.cpp
@@ -44,6 +44,7 @@
 
 } // namespace
 
+// Guards against two owners of a shard at the same time.
 TEST_CASE("a shard has no owner from the start of its move to its completion") {
     command_log it;
     it.apply(announce("a", 1));
@@ -89,6 +90,7 @@
     }
 }
 
+// Guards against grants from before the loss that are valid again when the upstream returns.
 TEST_CASE("a lost upstream gets its shards back only under a higher epoch") {
     command_log it;
     it.apply(announce("a", 1));
@@ -129,6 +131,7 @@
     }
 }
 
+// Guards against a hot key that is granted both with its shard and on its own.
 TEST_CASE("a hot key has an owner of its own") {
     command_log it;
     it.apply(announce("a", 1));
@@ -155,6 +158,7 @@
     }
 }
 
+// Guards against a shard that has an owner in two data centres.
 TEST_CASE("shards that are placed in another data centre have no owner here") {
     command_log it;
     it.apply(announce("a", 1));
@@ -176,11 +180,13 @@
     }
 }
 
+// Guards against grants of a former generation that prevail over those of a later one.
 TEST_CASE("epochs of a later generation are higher than all epochs of a former one") {
     CHECK(make_epoch(4, 1) > make_epoch(3, 1ULL << 39U));
     CHECK(make_epoch(3, 2) > make_epoch(3, 1));
 }
 
+// Guards against voters whose tables differ after the same commands.
 TEST_CASE("random commands give the same table on every replica and survive encoding") {
     std::mt19937 random(7);
     assignment_state first("dc1", 1);
@@ -233,6 +239,7 @@
     CHECK(highest > make_epoch(1, 2900));
 }
 
+// Guards against damaged bytes that crash the decoder or are accepted in part.
 TEST_CASE("bytes from the network that are not a table or command are refused") {
     command_log it;
     it.apply(announce("a", 1));
