--- a/tests/ownership/grant_test.cpp
+++ b/tests/ownership/grant_test.cpp
@@ -30,6 +30,8 @@
 
 } // namespace
 
+// Guards against a request that runs without a live grant, and against a gate that takes a grant for ended
+// while it is live.
 TEST_CASE("a grant is live from the second push to the end of its lease") {
     grant_issuer gate(600ms, 150ms);
     grant_holder upstream(1);
@@ -77,6 +79,7 @@
     }
 }
 
+// Guards against a lease that lasts longer because its message was under way for long.
 TEST_CASE("a grant that the network delays does not extend the lease") {
     grant_holder upstream(2);
     const auto token = upstream.issue_token(start);
@@ -93,6 +96,7 @@
     }
 }
 
+// Guards against an upstream that runs shards again that it has lost.
 TEST_CASE("delayed grants of a lower epoch or version change nothing") {
     grant_holder upstream(3);
     const auto token = upstream.issue_token(start);
@@ -106,6 +110,7 @@
     CHECK(upstream.receive(9, 8, 600ms, token, low_shards, start) == grant_holder::reply::lower_epoch);
 }
 
+// Guards against an upstream that runs shards after its gate was replaced.
 TEST_CASE("no grant outlasts the lease of its gate") {
     grant_issuer gate(600ms, 150ms);
     grant_holder upstream(4);
@@ -118,6 +123,7 @@
     CHECK(gate.may_live_until() <= start + 200ms);
 }
 
+// Guards against a move that completes while a grant of the former gate is live.
 TEST_CASE("a gate that took over does not report an acknowledgement that it never got") {
     grant_issuer gate(600ms, 150ms);
     grant_holder upstream(6);
@@ -128,6 +134,7 @@
     CHECK(gate.acknowledged());
 }
 
+// Guards against a lease for a grant that the upstream has not accepted.
 TEST_CASE("requests renew only an accepted grant") {
     grant_issuer gate(600ms, 150ms);
     grant_holder upstream(5);
