--- a/tests/ownership/planner_test.cpp
+++ b/tests/ownership/planner_test.cpp
@@ -71,6 +71,8 @@
 
 } // namespace
 
+// Guards against needless moves, and against moves that complete while a grant of the former owner may be
+// live.
 TEST_CASE("shards are balanced by slots with the fewest moves") {
     group it;
     it.announce("a");
@@ -141,6 +143,7 @@
     }
 }
 
+// Guards against sending a cold upstream its full share at once.
 TEST_CASE("a joining upstream with cold caches gets its share in steps") {
     group it;
     it.settings.ramp = 5s;
@@ -162,6 +165,7 @@
     CHECK(last == 32);
 }
 
+// Guards against an instance that is the gate of most upstreams, and against needless changes of gates.
 TEST_CASE("gates and standbys are spread evenly with few changes") {
     group it;
     for (int n = 0; n < 9; ++n) {
@@ -206,6 +210,7 @@
     }
 }
 
+// Guards against two gates that dispatch to an upstream that runs the requests of both.
 TEST_CASE("an upstream that does not check grants gets its next gate after the lease of the former one") {
     group it;
     upstream_row row;
@@ -225,6 +230,7 @@
     CHECK(it.rows().latest_row("a")->gate != former);
 }
 
+// Guards against moving a whole shard because of one key, and against moves that do not balance the load.
 TEST_CASE("hot keys move without their shard, only where it balances the load, and within their limit") {
     group it;
     for (const auto* name : {"a", "b", "c"}) {
@@ -277,6 +283,7 @@
     }
 }
 
+// Guards against a replica that counts before it has copied the window.
 TEST_CASE("a ledger group that loses a replica gets a joining instance") {
     group it;
     it.view.live_instances = {"i1", "i2", "i3", "i4", "i5"};
