--- a/tests/ownership/scenario_test.cpp
+++ b/tests/ownership/scenario_test.cpp
@@ -147,6 +147,7 @@
 
 } // namespace
 
+// Each tests/scenarios/ownership_*.toml states the failure that it guards against.
 TEST_CASE("ownership scenarios keep one live grant per shard") {
     const auto files = kingcupseam::test::scenarios_of("ownership");
     REQUIRE(files.size() >= 9);
@@ -170,6 +171,7 @@
     }
 }
 
+// Guards against checks that would pass a broken grant protocol.
 TEST_CASE("the checks detect injected faults") {
     SUBCASE("a lease counted from the receipt of the grant") {
         CHECK(detects("frozen_upstream_returns", {.lease_from_receipt = true}));
