--- a/tests/storage/crash_test.cpp
+++ b/tests/storage/crash_test.cpp
@@ -141,6 +141,7 @@
     }
 }
 
+// Guards against a store that continues after a failed write, whose effect on the disk is unknown.
 TEST_CASE("a disk failure is reported, and the store then refuses writes") {
     fake_disk disk;
     const auto store = open_log_store_on(non_owning(disk), "data");
@@ -234,6 +235,7 @@
     }
 }
 
+// Guards against a voter that starts without a durable log.
 TEST_CASE("creating a store in a read-only folder throws io_error") {
     fake_disk disk;
     disk.fail_at = 0;
