--- a/tests/storage/storage_test.cpp
+++ b/tests/storage/storage_test.cpp
@@ -68,6 +68,8 @@
 
 } // namespace
 
+// Guards against diskless voters, and tests with memory stores, that rely on other rules than file stores
+// follow.
 TEST_CASE("memory and file stores follow the same rules for logs and snapshots") {
     SUBCASE("in memory") {
         check_log_rules(*make_memory_log_store(7));
@@ -78,6 +80,7 @@
     }
 }
 
+// Guards against a restart that loses the term, the vote or an entry.
 TEST_CASE("a reopened file store has everything it acknowledged") {
     const temporary_folder folder;
     std::uint64_t identity = 0;
@@ -107,6 +110,8 @@
     }
 }
 
+// Guards against starting a voter whose log is damaged, and against refusing one that only crashed while it
+// was writing.
 TEST_CASE("damage to a log file is distinguished from an incomplete last write") {
     const temporary_folder folder;
     const auto file = folder.path / "log";
