--- a/tests/transport/frame_test.cpp
+++ b/tests/transport/frame_test.cpp
@@ -7,6 +7,7 @@
 using namespace kingcupseam;
 using namespace kingcupseam::transport;
 
+// Guards against a peer whose bytes make this process allocate memory or lose track of the frames.
 TEST_CASE("a byte stream is split into frames") {
     const frame first{frame_type::forward_request, 7, "hello"};
     const frame second{frame_type::heartbeat, 0, ""};
@@ -41,6 +42,7 @@
     }
 }
 
+// Guards against a payload that crashes the decoder or makes it allocate memory.
 TEST_CASE("payloads are Thrift compact structs") {
     wire::ForwardRequest request;
     request.service_name = "registry";
