--- a/tests/transport/link_test.cpp
+++ b/tests/transport/link_test.cpp
@@ -62,6 +62,8 @@
 
 } // namespace
 
+// Guards against requests that wait on a connection that no longer works, and against a false report that a
+// request was not sent.
 TEST_CASE("a link sends requests to a peer") {
     asio::io_context context;
 
@@ -175,6 +177,7 @@
     }
 }
 
+// Guards against traffic on the many links that are idle most of the time.
 TEST_CASE("a link without heartbeats when idle") {
     asio::io_context context;
     link_options settings;
