--- a/benchmark/admission_floods.cpp
+++ b/benchmark/admission_floods.cpp
@@ -62,7 +62,7 @@
                 queued.pop_front();
             }
         }
-        const auto chosen = choose();
+        const auto chosen = choose_rank();
         if (double(running_.size()) >= slots_ || chosen == rank_count) {
             return std::nullopt;
         }
@@ -105,7 +105,7 @@
             price_[n] = std::clamp(price_[n] + rate_ * error * elapsed, 0.0, 4.0);
         }
     }
-    std::size_t choose() const {
+    std::size_t choose_rank() const {
         std::size_t best = rank_count;
         for (std::size_t n = 0; n < rank_count; ++n) {
             if (!waiting_[n].empty() &&
--- a/src/admission/priority_queue.cpp
+++ b/src/admission/priority_queue.cpp
@@ -65,7 +65,7 @@
         if (exclusive_running_ || !meter_.has_free_slot(running())) {
             return std::nullopt;
         }
-        const auto chosen = choose();
+        const auto chosen = choose_rank();
         if (!chosen) {
             return std::nullopt;
         }
@@ -179,7 +179,7 @@
         }
     }
 
-    std::optional<rank> choose() const {
+    std::optional<rank> choose_rank() const {
         std::optional<rank> by_credit;
         std::optional<rank> most_urgent;
         double longest = -1;
