--- a/src/storage/record.cpp
+++ b/src/storage/record.cpp
@@ -92,7 +92,7 @@
     image.install(state);
 }
 
-void apply(log_image& image, reader& in, bool first) {
+void apply_record(log_image& image, reader& in, bool first) {
     const auto kind = static_cast<record_kind>(in.number(1));
     if (first != (kind == record_kind::identity)) {
         in.fail("the first record, and no other, must be an identity record");
@@ -223,7 +223,7 @@
             throw corrupt_log(path, at, "record failed its checksum");
         }
         reader in(path, at, *payload);
-        apply(result.image, in, at == 0);
+        apply_record(result.image, in, at == 0);
         at += header_bytes + payload->size();
     }
     if (at == 0) {
