--- a/src/membership/member_list.h
+++ b/src/membership/member_list.h
@@ -26,9 +26,11 @@
     void announce_self(const record& self);
     /// Up to max_piggyback changes, those sent least often first.
     std::vector<record> changes_to_send();
+    /// Postpones the suspicion timeouts by a pause of this process.
     void extend_suspicions(duration pause);
     /// Suspects that this instance has to probe now.
     std::vector<record> suspects_to_probe(time_point now);
+    /// Removes the members that left or died longer than dead_retention ago.
     void remove_expired(time_point now);
 
     const member* find(const std::string& name) const;
@@ -45,6 +47,7 @@
 
 private:
     std::uint32_t transmission_limit() const;
+    /// Stores a record and queues it for sending.
     void replace(member& it, const record& received, time_point now);
 
     const options& settings_;
