--- a/include/kingcupseam/ledger.h
+++ b/include/kingcupseam/ledger.h
@@ -43,7 +43,7 @@
 
 struct write_result {
     bool accepted = false;
-    std::uint64_t fenced_epoch = 0; ///< highest epoch that the replica has seen for the shard
+    std::uint64_t fenced_epoch = 0; ///< highest epoch that the replica has seen for the shard; 0 if not ready
     std::optional<record> existing; ///< the replica's record of the key before the write
 };
 
