--- a/include/kingcupseam/admission.h
+++ b/include/kingcupseam/admission.h
@@ -77,7 +77,7 @@
 
 struct retry_policy {
     double budget_fraction = 0.1;     ///< retries as a fraction of first attempts
-    std::uint32_t min_per_second = 3; ///< retries in a second that are allowed beyond the fraction
+    std::uint32_t min_per_second = 3; ///< retries allowed in each second whatever the fraction
     duration first_backoff = std::chrono::milliseconds(5);
     duration max_backoff = std::chrono::milliseconds(100);
     std::uint32_t max_attempts = 3;
