--- a/tests/consensus/replacement_test.cpp
+++ b/tests/consensus/replacement_test.cpp
@@ -78,7 +78,7 @@
     }
 }
 
-// Guards against a membership change that cannot be committed, or after which one more loss stops the group.
+// Guards against a membership change that cannot be committed because too few of the new voters are live.
 TEST_CASE("no change is started that could leave the group without a live majority") {
     SUBCASE("without a majority nothing is changed") {
         CHECK(decision(view("abc", "", "bc", "de")) == "none");
