--- a/src/statechart/statechart.cpp
+++ b/src/statechart/statechart.cpp
@@ -109,7 +109,7 @@
     return charts;
 }
 
-const std::map<std::string, chart, std::less<>>& embedded() {
+const std::map<std::string, chart, std::less<>>& embedded_charts() {
     static const auto charts = parse_embedded();
     return charts;
 }
@@ -139,8 +139,8 @@
 }
 
 const chart& embedded_chart(std::string_view name) {
-    const auto it = embedded().find(name);
-    if (it == embedded().end()) {
+    const auto it = embedded_charts().find(name);
+    if (it == embedded_charts().end()) {
         throw invalid_chart(std::string(name), "is not embedded in this binary");
     }
     return it->second;
