--- a/src/app/instance/gate.h
+++ b/src/app/instance/gate.h
@@ -24,7 +24,7 @@
     /// Sets the end of this instance's gate lease; called by the control thread.
     void set_lease_end(time_point end) noexcept { lease_end_.store(end.time_since_epoch().count()); }
     /// Sets the observer of the reports on all gated upstreams, sent on every tick and after a new view.
-    void on_report(std::function<void(gate_report)> observer) { observer_ = std::move(observer); }
+    void set_report_observer(std::function<void(gate_report)> observer) { observer_ = std::move(observer); }
     /// True if no request is queued or in flight.
     bool idle() const;
     void stop();
--- a/src/app/instance/instance.cpp
+++ b/src/app/instance/instance.cpp
@@ -61,7 +61,7 @@
                                     asio::post(entry_worker_.io, [this] { entry_->on_view_changed(); });
                                 },
                                 [this](time_point end) { gate_->set_lease_end(end); }});
-    gate_->on_report([this](gate_report report) {
+    gate_->set_report_observer([this](gate_report report) {
         asio::post(control_worker_.io, [this, report = std::move(report)]() mutable {
             control_->on_gate_report(std::move(report));
         });
