--- a/src/app/instance/grant_pusher.cpp
+++ b/src/app/instance/grant_pusher.cpp
@@ -33,7 +33,7 @@
     issuer_.assign(epoch, version);
 }
 
-void grant_pusher::push_due(time_point now, time_point gate_lease_end) {
+void grant_pusher::push_if_due(time_point now, time_point gate_lease_end) {
     if (const auto due = issuer_.poll(now, gate_lease_end)) {
         push(*due);
     }
--- a/src/app/instance/grant_pusher.h
+++ b/src/app/instance/grant_pusher.h
@@ -35,7 +35,7 @@
     void assign(ownership::epoch_number epoch, ownership::epoch_number version,
                 ownership::grant_holder::scope granted);
     /// Sends the next push if it is due.
-    void push_due(time_point now, time_point gate_lease_end);
+    void push_if_due(time_point now, time_point gate_lease_end);
     ownership::grant_issuer& issuer() noexcept { return issuer_; }
     const ownership::grant_issuer& issuer() const noexcept { return issuer_; }
     /// True after two successive pushes failed, which means that the upstream is lost or frozen.
--- a/src/app/instance/upstream_gate.cpp
+++ b/src/app/instance/upstream_gate.cpp
@@ -174,7 +174,7 @@
 void upstream_gate::tick(time_point now) {
     if (shared_.settings.routing == settings::routing_mode::gate || row_.gate == shared_.settings.name) {
         if (!handed_over_) {
-            grants_.push_due(now, shared_.lease_end());
+            grants_.push_if_due(now, shared_.lease_end());
         }
     }
     queue_->set_slots(row_.slots * health_.slot_fraction(now));
