--- a/src/app/instance/upstream_gate.h
+++ b/src/app/instance/upstream_gate.h
@@ -97,7 +97,7 @@
     /// Asks a responsive upstream for the state of each unanswered request, to detect connections that carry
     /// no more answers.
     void check_silent_requests(time_point now);
-    void on_upstream_refused(time_point now);
+    void on_connection_refused(time_point now);
     void replace_client();
 
     gate_context& shared_;
