--- a/src/app/instance/ledger_host.cpp
+++ b/src/app/instance/ledger_host.cpp
@@ -42,7 +42,7 @@
 
 ledger_host::ledger_host(const instance_id& self, peer_mesh& mesh, const view_holder& views)
     : self_(replica_name(self)), mesh_(mesh), views_(views), writer_(operation_timeout),
-      covered_(profile_propagation_time) {}
+      guaranteed_retention_(profile_propagation_time) {}
 
 void ledger_host::update_retention(const routing_view& view, time_point now) {
     duration longest{0};
@@ -58,7 +58,7 @@
         it.set_retention(longest);
     }
     writer_.set_retention(longest);
-    covered_.set_retention(longest, now);
+    guaranteed_retention_.set_retention(longest, now);
 }
 
 bool ledger_host::expired(const std::string& service, const std::string& idempotency_key,
@@ -70,7 +70,7 @@
         return false;
     }
     const auto age = std::chrono::system_clock::now() - *created;
-    return age > std::min(profile->ledger_retention, covered_.at(now));
+    return age > std::min(profile->ledger_retention, guaranteed_retention_.at(now));
 }
 
 std::vector<std::string> ledger_host::replicas_of(std::uint32_t shard) const {
--- a/src/app/instance/ledger_host.h
+++ b/src/app/instance/ledger_host.h
@@ -74,7 +74,7 @@
     time_point next_window_copy_;
     duration retention_ = std::chrono::minutes(10);
     ledger::writer writer_;
-    ledger::guaranteed_retention covered_;
+    ledger::guaranteed_retention guaranteed_retention_;
 };
 
 } // namespace kingcupseam::app
