--- a/src/app/instance/data_center_leader.cpp
+++ b/src/app/instance/data_center_leader.cpp
@@ -62,7 +62,7 @@
     const std::size_t size = std::max<std::size_t>(shared_.settings.data_center_size, 1);
     const std::size_t needed = size / 2 + 1;
     const auto recent = std::count_if(instances_.begin(), instances_.end(), [now](const auto& it) {
-        return now - it.second.last_request < gate_lease;
+        return now - it.second.last_lease_request < gate_lease;
     });
     return static_cast<std::size_t>(recent) >= needed;
 }
@@ -80,7 +80,7 @@
     }
     auto& tracked = instances_[info.name];
     tracked.info = info;
-    tracked.last_request = now;
+    tracked.last_lease_request = now;
     tracked.stopping = request.stopping;
     tracked.table_version = request.table_version;
     record_reports(request, now);
@@ -175,7 +175,7 @@
     ownership::cluster_view view;
     view.live_replicas = live_replicas(now);
     for (const auto& [name, it] : instances_) {
-        if (!it.stopping && now - it.last_request < instance_lost_after) {
+        if (!it.stopping && now - it.last_lease_request < instance_lost_after) {
             view.live_instances.insert(name);
             view.hot_keys.insert(view.hot_keys.end(), it.hot_keys.begin(), it.hot_keys.end());
         }
@@ -375,7 +375,7 @@
     options.voters = std::min<std::size_t>(3, std::max<std::uint32_t>(shared_.settings.data_center_size, 1));
     std::vector<consensus::member_id> spares;
     for (const auto& [name, it] : instances_) {
-        if (!it.stopping && now - it.last_request < instance_lost_after) {
+        if (!it.stopping && now - it.last_lease_request < instance_lost_after) {
             spares.push_back({name, it.info.incarnation});
         }
     }
--- a/src/app/instance/data_center_tier.h
+++ b/src/app/instance/data_center_tier.h
@@ -41,7 +41,7 @@
 /// What the leader of a data centre group knows about one instance; not replicated.
 struct tracked_instance {
     instance_info info;
-    time_point last_request;
+    time_point last_lease_request;
     time_point lease_until; ///< upper bound, by the leader's clock, of the end of the instance's lease
     bool stopping = false;
     std::int64_t table_version = 0;
--- a/src/app/instance/ledger_leader.cpp
+++ b/src/app/instance/ledger_leader.cpp
@@ -26,7 +26,7 @@
 std::set<std::string> data_center_tier::live_replicas(time_point now) const {
     std::set<std::string> result;
     for (const auto& [name, it] : instances_) {
-        if (now - it.last_request < replica_lost_after) {
+        if (now - it.last_lease_request < replica_lost_after) {
             result.insert(replica_name({name, it.info.incarnation}));
         }
     }
