--- a/src/app/instance/control_plane.cpp
+++ b/src/app/instance/control_plane.cpp
@@ -210,7 +210,8 @@
                     encode(global_.on_state_request(decode<wire::StateRequest>(received.payload), now))});
         break;
     case frame_type::voter_status_request:
-        from->send({frame_type::voter_status_reply, received.correlation, encode(global_.on_voter_status())});
+        from->send({frame_type::voter_status_reply, received.correlation,
+                    encode(global_.on_voter_status_request())});
         break;
     case frame_type::command_request:
         global_.on_command(decode<wire::CommandRequest>(received.payload),
--- a/src/app/instance/global_tier.cpp
+++ b/src/app/instance/global_tier.cpp
@@ -75,7 +75,7 @@
     }
 }
 
-wire::VoterStatusReply global_tier::on_voter_status() const {
+wire::VoterStatusReply global_tier::on_voter_status_request() const {
     wire::VoterStatusReply reply;
     reply.formed = group_ && group_->store().last_index() > 0;
     reply.identity = group_ ? static_cast<std::int64_t>(group_->self().incarnation) : 0;
--- a/src/app/instance/global_tier.h
+++ b/src/app/instance/global_tier.h
@@ -23,7 +23,7 @@
 
     void tick(time_point now);
     void on_consensus_message(const consensus::message& received);
-    wire::VoterStatusReply on_voter_status() const;
+    wire::VoterStatusReply on_voter_status_request() const;
     wire::StateReply on_state_request(const wire::StateRequest& request, time_point now);
     /// Applies the reply of another instance unless its state is older than the known one.
     void on_state_reply(const wire::StateReply& reply, time_point now);
