--- a/src/app/instance/control_plane.cpp
+++ b/src/app/instance/control_plane.cpp
@@ -85,7 +85,7 @@
 void control_plane::tick(time_point now) {
     global_.tick(now);
     data_center_.tick(now);
-    perform(detector_.tick(now));
+    apply_effects(detector_.tick(now));
     if (now >= next_gossip_) {
         next_gossip_ = now + gossip_interval;
         gossip(now);
@@ -235,7 +235,7 @@
 void control_plane::on_datagram(const endpoint_address& from, std::string_view payload) {
     usage_.count_datagram();
     try {
-        perform(detector_.receive(decode_membership_message(payload), from, steady_now()));
+        apply_effects(detector_.receive(decode_membership_message(payload), from, steady_now()));
     } catch (const transport::malformed_frame&) {
         shared_.registry
             .counter_of("kingcupseam_malformed_datagrams_total", "Membership datagrams that did not decode")
@@ -243,7 +243,7 @@
     }
 }
 
-void control_plane::perform(const membership::effects& effects) {
+void control_plane::apply_effects(const membership::effects& effects) {
     for (const auto& it : effects.messages) {
         datagrams_->send(it.to, encode_membership_message(it.body));
     }
@@ -310,7 +310,7 @@
     stopping_since_ = steady_now();
     operator_api_->set_stopping();
     data_center_.begin_shutdown();
-    perform(detector_.leave(steady_now()));
+    apply_effects(detector_.leave(steady_now()));
 }
 
 bool control_plane::unready_period_elapsed() const {
--- a/src/app/instance/control_plane.h
+++ b/src/app/instance/control_plane.h
@@ -45,7 +45,7 @@
     void fetch_tables();
     void on_frame(const std::shared_ptr<transport::connection>& from, const transport::frame& received);
     void on_datagram(const endpoint_address& from, std::string_view payload);
-    void perform(const membership::effects& effects);
+    void apply_effects(const membership::effects& effects);
     void on_global_state(const wire::GlobalState& state);
     void on_table(const std::string& data_center, std::shared_ptr<const ownership::table> rows);
     void publish();
--- a/src/app/instance/replicated_group.cpp
+++ b/src/app/instance/replicated_group.cpp
@@ -32,12 +32,12 @@
       node_(restore_snapshot(settings, *store_, machine_, applied_), *store_, steady_now()) {}
 
 void replicated_group::receive(const consensus::message& received) {
-    perform(node_.receive(received, steady_now()));
+    apply_effects(node_.receive(received, steady_now()));
 }
 
 void replicated_group::tick() {
     const time_point now = steady_now();
-    perform(node_.tick(now));
+    apply_effects(node_.tick(now));
     expire_proposals(now);
 }
 
@@ -54,7 +54,7 @@
         done(std::nullopt);
         return;
     }
-    perform(std::move(effects));
+    apply_effects(std::move(effects));
 }
 
 bool replicated_group::change(const consensus::membership_change& wanted) {
@@ -66,7 +66,7 @@
     } catch (const consensus::change_refused&) {
         return false;
     }
-    perform(std::move(effects));
+    apply_effects(std::move(effects));
     return true;
 }
 
@@ -77,7 +77,7 @@
            store_->term_at(node_.commit_index()) == node_.term();
 }
 
-void replicated_group::perform(consensus::effects effects) {
+void replicated_group::apply_effects(consensus::effects effects) {
     for (const auto& it : effects.messages) {
         send_(it);
     }
--- a/src/app/instance/replicated_group.h
+++ b/src/app/instance/replicated_group.h
@@ -57,7 +57,7 @@
         on_result done;
     };
 
-    void perform(consensus::effects effects);
+    void apply_effects(consensus::effects effects);
     void apply(const storage::entry& committed);
     void compact_if_needed();
     void expire_proposals(time_point now);
