--- a/src/app/instance/control_context.cpp
+++ b/src/app/instance/control_context.cpp
@@ -30,15 +30,15 @@
 
 } // namespace
 
-bool control_context::update_instance(const instance_info& known) {
-    if (known.name == settings.name || known.name.empty()) {
+bool control_context::update_instance(const instance_info& info) {
+    if (info.name == settings.name || info.name.empty()) {
         return false;
     }
-    auto& current = instances[known.name];
-    if (known.incarnation < current.incarnation || known == current) {
+    auto& current = instances[info.name];
+    if (info.incarnation < current.incarnation || info == current) {
         return false;
     }
-    current = known;
+    current = info;
     return true;
 }
 
--- a/src/app/instance/control_context.h
+++ b/src/app/instance/control_context.h
@@ -25,7 +25,7 @@
     std::map<std::string, instance_info> instances; ///< all other known instances, by name
 
     /// Records an instance unless a higher incarnation of it is known. @returns true if the entry changed
-    bool update_instance(const instance_info& known);
+    bool update_instance(const instance_info& info);
     /// Link to a known instance; null if the name is unknown or this instance's own.
     transport::peer_link* link_to(const std::string& name);
     instance_info self() const;
