--- a/src/app/instance/data_center_leader.cpp
+++ b/src/app/instance/data_center_leader.cpp
@@ -383,7 +383,7 @@
     if (const auto change = consensus::replacement_policy(options).next(view, now)) {
         spdlog::info("changing voters member={} change={}", change->member.name,
                      static_cast<int>(change->kind));
-        group_->change(*change);
+        group_->change_membership(*change);
     }
 }
 
--- a/src/app/instance/global_leader.cpp
+++ b/src/app/instance/global_leader.cpp
@@ -222,7 +222,7 @@
     if (const auto change = consensus::replacement_policy(options).next(view, now)) {
         spdlog::info("changing global voters member={} change={}", change->member.name,
                      static_cast<int>(change->kind));
-        group_->change(*change);
+        group_->change_membership(*change);
     }
 }
 
--- a/src/app/instance/replicated_group.cpp
+++ b/src/app/instance/replicated_group.cpp
@@ -57,7 +57,7 @@
     apply_effects(std::move(effects));
 }
 
-bool replicated_group::change(const consensus::membership_change& wanted) {
+bool replicated_group::change_membership(const consensus::membership_change& wanted) {
     consensus::effects effects;
     try {
         node_.change_membership(wanted, steady_now(), effects);
--- a/src/app/instance/replicated_group.h
+++ b/src/app/instance/replicated_group.h
@@ -42,7 +42,7 @@
     /// Ends every pending proposal with an empty result; must be called before the group is destroyed.
     void abandon_proposals();
     /// Proposes a change of membership. @returns false if this member does not lead or the change is refused
-    bool change(const consensus::membership_change& wanted);
+    bool change_membership(const consensus::membership_change& wanted);
     /// True while this member leads, no other member can have been elected, and the state machine has applied
     /// every entry that was committed before.
     bool leads() const;
--- a/src/router/control_node.cpp
+++ b/src/router/control_node.cpp
@@ -262,7 +262,7 @@
     if (const auto change = consensus::replacement_policy(options).next(view, now)) {
         spdlog::info("control group changes kind={} member={} incarnation={}", static_cast<int>(change->kind),
                      change->member.name, change->member.incarnation);
-        group_->change(*change);
+        group_->change_membership(*change);
     }
 }
 
