--- a/include/kingcupseam/statechart.h
+++ b/include/kingcupseam/statechart.h
@@ -46,6 +46,7 @@
     bool operator==(const chart&) const = default;
 };
 
+/// Parses a chart in TOML; @p source is the file name for error messages.
 /// @throws invalid_chart
 chart parse_chart(const std::string& source, const std::string& text);
 
