--- a/src/app/instance/control_plane.h
+++ b/src/app/instance/control_plane.h
@@ -20,7 +20,9 @@
 class control_plane {
 public:
     struct observer {
+        /// Called with each new routing view.
         std::function<void(std::shared_ptr<const routing_view>)> on_view;
+        /// Called with the end of this instance's gate lease.
         std::function<void(time_point)> on_lease;
     };
 
