--- a/src/app/instance/data_center_tier.h
+++ b/src/app/instance/data_center_tier.h
@@ -55,7 +55,7 @@
 /// What the leader of a data centre group knows about one upstream; not replicated.
 struct tracked_upstream {
     std::string reporting_gate;
-    std::int8_t health = 0; ///< reported_health
+    std::int8_t health = 0; ///< a value of reported_health (upstream_gate.h)
     std::uint64_t incarnation = 0;
     ownership::epoch_number acknowledged = 0; ///< version of the last grant that it accepted
     time_point joined_at;                     ///< when it was last seen in the state joining
@@ -126,6 +126,8 @@
                                                                std::uint32_t number, time_point now) const;
     std::set<std::string> live_replicas(time_point now) const;
     void propose(const ownership::command& change);
+    /// Stores a new table in the global group, from which the next generation of this group restores it, and
+    /// publishes it to the instances once the global group has confirmed it or takes too long.
     void mirror_and_publish(time_point now);
     void start_mirror(const std::shared_ptr<const ownership::table>& rows, time_point now);
     bool newer_than_published(const ownership::table& rows) const;
