--- a/src/app/instance/data_center_leader.cpp
+++ b/src/app/instance/data_center_leader.cpp
@@ -16,7 +16,7 @@
 // Covers a clock that runs 0.5% fast, and rounding.
 constexpr duration drift_margin = std::chrono::milliseconds(5);
 constexpr duration plan_interval = std::chrono::milliseconds(40);
-// Tolerates two missed renewals, one every 150 ms, before another instance takes over the gates.
+// Tolerates two missed renewals, which are due every 150 ms, before another instance takes over the gates.
 constexpr duration instance_lost_after = std::chrono::milliseconds(400);
 constexpr duration mirror_retry = std::chrono::seconds(1);
 // Long enough for many round trips between data centres and disk syncs; short enough to serve keys again
@@ -125,11 +125,13 @@
 }
 
 time_point data_center_tier::latest_grant_end(const ownership::upstream_row& row) const {
-    // The former leader may have renewed gate leases until it lost its quorum; grants end within those.
+    // The former leader may have renewed gate leases until it lost its quorum, and a grant ends no later than
+    // the gate lease.
     time_point bound = leader_since_ + gate_lease + drift_margin;
     if (generation_ > 1) {
-        // The leader of the former generation counts a request for one lease period and may grant leases
-        // until then, so its gates can act for two lease periods after this generation first had a majority.
+        // The leader of the former generation counts an instance towards its majority for one lease period
+        // after the instance's last request, and may grant leases until the end of that period. So its gates
+        // can dispatch for two lease periods after this generation first had a majority.
         bound = std::max(bound, first_granted_ + 2 * gate_lease + 2 * drift_margin);
     }
     for (const auto& [name, it] : instances_) {
