--- a/src/app/instance/global_leader.cpp
+++ b/src/app/instance/global_leader.cpp
@@ -37,7 +37,8 @@
     return slots;
 }
 
-/// Distributes shards over data centres in proportion to their slots, interleaved.
+/// Distributes shards over data centres in proportion to their slots, interleaved (smooth weighted round
+/// robin).
 wire::ServiceHomes spread_shards(const std::string& service, std::uint32_t shards,
                                  const std::map<std::string, std::uint32_t>& slots) {
     wire::ServiceHomes result;
