--- a/src/app/instance/global_tier.h
+++ b/src/app/instance/global_tier.h
@@ -41,12 +41,13 @@
     const replicated_group* group() const noexcept { return group_.get(); }
 
 private:
+    /// Report of an instance that gets no lease from its data centre's group.
     struct ungrouped_report {
         instance_info instance;
-        std::uint64_t generation = 0;
+        std::uint64_t generation = 0; ///< latest generation of the group that the instance knows
         std::size_t data_center_size = 0;
-        time_point since;
-        time_point last;
+        time_point since; ///< first report of this incarnation and generation
+        time_point last;  ///< latest report
     };
 
     void open_group(const std::optional<consensus::membership>& initial);
