--- a/src/app/instance/gate.h
+++ b/src/app/instance/gate.h
@@ -23,7 +23,8 @@
     void on_view_changed();
     /// Sets the end of this instance's gate lease; called by the control thread.
     void set_lease_end(time_point end) noexcept { lease_end_.store(end.time_since_epoch().count()); }
-    /// Sets the observer of the reports on all gated upstreams, sent on every tick and after a new view.
+    /// Sets the observer of the reports on the upstreams of this instance's gates, made on every tick and
+    /// after a new view.
     void set_report_observer(std::function<void(gate_report)> observer) { observer_ = std::move(observer); }
     /// True if no request is queued or in flight.
     bool idle() const;
@@ -39,7 +40,7 @@
     /// routing).
     void refresh_direct_gates(const routing_view& view);
     void connect_ledger_replicas(const routing_view& view);
-    /// Sends the changed entries to all instances of this data centre.
+    /// Sends changed entries of the list of poison requests to all instances of this data centre.
     void broadcast_poison_requests(const std::vector<admission::poison_request_list::record>& changed);
     upstream_gate* find(const std::string& upstream);
     upstream_gate* create_direct_gate(const std::string& upstream);
@@ -55,6 +56,7 @@
     hot_keys::tracker hot_keys_{{}};
     gate_context shared_;
     std::map<std::string, std::unique_ptr<upstream_gate>> upstreams_;
+    /// Gates that were handed over, kept while a request is in flight or a grant may be live.
     std::vector<std::unique_ptr<upstream_gate>> retiring_;
     asio::steady_timer timer_;
     std::unique_ptr<transport::peer_server> server_;
