--- a/src/app/instance/gate_request.h
+++ b/src/app/instance/gate_request.h
@@ -20,9 +20,9 @@
     time_point arrived;
     time_point deadline;
     std::vector<gate_reply> waiters; ///< of the caller and of callers that resent the same idempotency key
-    std::string digest;     ///< of the content, to detect poison requests and reused idempotency keys
-    std::string attempt_id; ///< Kingcupseam-Request-Id of the current attempt
-    std::uint64_t ticket = 0;
+    std::string digest;            ///< of the content, to detect poison requests and reused idempotency keys
+    std::string attempt_id;        ///< Kingcupseam-Request-Id of the current attempt
+    std::uint64_t ticket = 0;      ///< id in the admission queue and while in flight; new for each retry
     std::uint64_t client_call = 0; ///< number of the HTTP client's call, while the attempt is in flight
     time_point sent;
     std::uint32_t attempts = 0;
