--- a/src/app/instance/entry.cpp
+++ b/src/app/instance/entry.cpp
@@ -190,8 +190,8 @@
 
 void entry::on_response(const request_ptr& it, const wire::ForwardResponse& response) {
     if (should_retry(*it, response)) {
-        // A gate that answers stale_route has not run and will not run an at-most-once request. Whether
-        // another gate has is decided by the next gate, which reads the ledger.
+        // A gate that answers stale_route has not run an at-most-once request and will not run it. Whether
+        // another gate has run it is for the next gate to find out, from the ledger.
         const bool is_stale_route =
             it->request.at_most_once && static_cast<refusal>(response.reason) == refusal::stale_route;
         it->may_have_run = it->may_have_run ||
