--- a/src/app/instance/ledger_host.h
+++ b/src/app/instance/ledger_host.h
@@ -27,6 +27,7 @@
     /// Groups that this instance joins and whose windows it has installed.
     std::set<std::uint32_t> installed_groups() const;
 
+    /// Records that a request is about to run; see ledger::writer::begin().
     void begin(const ledger::record& wanted, const ledger::writer::on_decision& done);
     /// Looks a key up in the window without recording anything; see ledger::writer::look_up().
     void look_up(const ledger::record& wanted, const ledger::writer::on_decision& done);
@@ -34,7 +35,9 @@
     void abandon(const std::string& service, std::uint32_t shard, const std::string& key);
     ledger::writer& writer() noexcept { return writer_; }
 
+    /// Writes a record of another instance's gate to this instance's replica.
     wire::LedgerRecordReply on_record(const wire::LedgerRecord& received);
+    /// Fences a shard at this instance's replica; `LedgerSeal` is the wire name of a fence.
     wire::LedgerSealReply on_fence(const wire::LedgerSeal& received);
     void tick(time_point now);
     /// Sets the retention of all windows to the longest one of the accepted profiles.
