--- a/src/app/instance/ledger_join.cpp
+++ b/src/app/instance/ledger_join.cpp
@@ -26,8 +26,8 @@
     return ledger::replica(options, start);
 }
 
-/// Epoch of the gate that writes to the shard. The next owner of a shard without one gets a higher epoch than
-/// the one returned here.
+/// Epoch of the gate that writes to the shard; for a shard without an owner, an epoch below that of its next
+/// owner.
 std::uint64_t writer_epoch(const ownership::table& rows, const ownership::shard_row& row) {
     return row.owner < rows.upstreams.size() ? rows.upstreams[row.owner].epoch
                                              : ownership::make_epoch(rows.generation, rows.version);
@@ -46,7 +46,8 @@
         const bool member = contains(group.replicas, self_);
         const auto it = replicas_.find(n);
         if (member) {
-            // A member that did not join this way belongs to a group that is new or has been reset.
+            // A joining replica copies the windows before it becomes a member. A member without them belongs
+            // to a group that is new or has been reset.
             if (it == replicas_.end() || !it->second.ready()) {
                 replicas_.insert_or_assign(
                     n, new_replica(retention_, rows->ledger_groups.size(), ledger::replica_start::new_group));
