--- a/src/app/instance/ledger_leader.cpp
+++ b/src/app/instance/ledger_leader.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Longer than a pause from which an instance returns with its windows; a replacement has to copy all of them.
+// An instance that returns from a shorter pause still has its windows, while a replacement has to copy all of
+// them.
 constexpr duration replica_lost_after = std::chrono::seconds(2);
 constexpr std::size_t ledger_replicas = 3;
 
