--- a/src/app/instance/upstream_gate.h
+++ b/src/app/instance/upstream_gate.h
@@ -74,7 +74,7 @@
     /// Keeps the slot of an execution that could not be cancelled until the upstream has finished it, at most
     /// until @p until.
     void hold_slot(std::uint64_t ticket, const std::string& attempt_id, time_point until);
-    void on_not_run(const gate_request_ptr& request, refusal reason, bool retry);
+    void on_not_run(const gate_request_ptr& request, refusal reason, bool retry_wanted);
     void on_may_have_run(const gate_request_ptr& request, refusal reason);
     bool retry(const gate_request_ptr& request);
     void release(const gate_request_ptr& request, std::optional<duration> service_time);
@@ -94,9 +94,10 @@
     /// Probes the upstream if an in-flight request has had no answer for some time.
     void check_silence(time_point now);
     void on_probe_result(const http_result& result);
-    /// Asks a responsive upstream for the state of each unanswered request, to detect connections that carry
-    /// no more answers.
+    /// Sends a cancellation for each unanswered request to a responsive upstream. A reported state other than
+    /// `running` means that the request's connection carries no more answers.
     void check_silent_requests(time_point now);
+    /// The upstream refused a connection; if others broke shortly before, it counts as crashed.
     void on_connection_refused(time_point now);
     void replace_client();
 
