--- a/src/app/instance/upstream_dispatch.cpp
+++ b/src/app/instance/upstream_dispatch.cpp
@@ -1,3 +1,5 @@
+// Dispatch of requests to an upstream: the ledger's decision, the attempt, its answer or failure, and
+// retries.
 #include "app/instance/upstream_gate.h"
 
 #include <algorithm>
