--- a/src/app/instance/upstream_faults.cpp
+++ b/src/app/instance/upstream_faults.cpp
@@ -1,3 +1,4 @@
+// Faults of an upstream: silent connections, executions that outlive their deadline, and crashes.
 #include "app/instance/upstream_gate.h"
 
 #include <nlohmann/json.hpp>
