--- a/src/app/instance/upstream_gate.cpp
+++ b/src/app/instance/upstream_gate.cpp
@@ -89,12 +89,12 @@
         finish(request, not_run_response(refusal::stale_route));
         return;
     }
-    const auto standing = shared_.poison_requests.status_of(request->digest, request->arrived);
-    if (standing == admission::poison_request_list::status::refused) {
+    const auto poison_status = shared_.poison_requests.status_of(request->digest, request->arrived);
+    if (poison_status == admission::poison_request_list::status::refused) {
         refuse(request, refusal::crashes_upstreams);
         return;
     }
-    request->exclusive = standing == admission::poison_request_list::status::suspected;
+    request->exclusive = poison_status == admission::poison_request_list::status::suspected;
     if (request->wire.at_most_once) {
         const auto duplicate = by_key_.find(request->wire.idempotency_key);
         if (duplicate != by_key_.end()) {
