--- a/tests/process/request_fault_test.cpp
+++ b/tests/process/request_fault_test.cpp
@@ -58,8 +58,8 @@
     }
     MESSAGE(damaged << " damaged answers; " << report.at("ranks").dump());
     CHECK(damaged > 20);
-    for (const auto* kind : {"urgent", "standard"}) {
-        const auto& it = report.at("ranks").at(kind);
+    for (const auto* rank_name : {"urgent", "standard"}) {
+        const auto& it = report.at("ranks").at(rank_name);
         CHECK(it.at("wrong") == 0);
         CHECK(it.at("double_runs") == 0);
         CHECK(it.at("false_not_run") == 0);
--- a/tests/process/request_flood_test.cpp
+++ b/tests/process/request_flood_test.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Answered requests per second of the rank @p kind.
-double answer_rate(const nlohmann::json& report, const std::string& kind) {
-    return report.at("ranks").at(kind).at("answered").get<double>() / report.at("seconds").get<double>();
+/// Answered requests per second of the rank @p rank_name.
+double answer_rate(const nlohmann::json& report, const std::string& rank_name) {
+    return report.at("ranks").at(rank_name).at("answered").get<double>() / report.at("seconds").get<double>();
 }
 
 // 2 upstreams with 2 slots each and a service time of 20 ms. navalsig.toml guarantees bookings 15%.
@@ -71,8 +71,8 @@
     const auto report = cluster.load_report();
     MESSAGE(report.at("ranks").at("urgent").dump());
     MESSAGE(report.at("ranks").at("standard").dump());
-    for (const auto* kind : {"urgent", "standard"}) {
-        const auto& it = report.at("ranks").at(kind);
+    for (const auto* rank_name : {"urgent", "standard"}) {
+        const auto& it = report.at("ranks").at(rank_name);
         CHECK(it.at("lost") == 0);
         CHECK(it.at("errors") == 0);
         CHECK(it.at("unknown") == 0);
