--- a/tests/process/stand_in_process_test.cpp
+++ b/tests/process/stand_in_process_test.cpp
@@ -82,7 +82,7 @@
     fixture() { std::filesystem::create_directories(folder); }
     ~fixture() { std::filesystem::remove_all(folder); }
 
-    arguments command(const arguments& more = {}) const {
+    arguments stand_in_arguments(const arguments& more = {}) const {
         arguments words{"stand-in",       "--name", "u1",       "--service",   "registry",
                         "--listen",       address,  "--record", folder / "u1", "--no-grant-checks",
                         "--service-time", "300"};
@@ -121,7 +121,7 @@
 } // namespace
 
 TEST_CASE_FIXTURE(fixture, "a stand-in process ends or stops as real upstreams do") {
-    child process(command({"--crash-prefix", "crash-"}));
+    child process(stand_in_arguments({"--crash-prefix", "crash-"}));
     wait_until_up();
     SUBCASE("SIGTERM cuts off no request in flight") {
         std::optional<http_result> result;
@@ -160,7 +160,8 @@
                                    announced.push_back(nlohmann::json::parse(request.body));
                                    reply({202, {}, "{}"});
                                });
-    child process(command({"--instance", "127.0.0.1:" + std::to_string(instance), "--drain-limit", "1000"}));
+    child process(
+        stand_in_arguments({"--instance", "127.0.0.1:" + std::to_string(instance), "--drain-limit", "1000"}));
     context.run_for(1300ms);
     REQUIRE(announced.size() >= 2);
     CHECK(announced.front().at("state") == "active");
