--- a/tests/process/control_profile_test.cpp
+++ b/tests/process/control_profile_test.cpp
@@ -154,7 +154,8 @@
     check_restart_after_changes(true);
 }
 
-TEST_CASE("no restart one by one brings an older profile back, also after 500 changes" *
+// Guards against an instance that becomes ready with an older profile while the others serve the newest one.
+TEST_CASE("a restart of the instances one by one restores no older profile after 500 changes" *
           doctest::may_fail()) { // KNOWN-RED.txt
     check_restart_after_changes(false);
 }
