--- a/tests/process/request_flood_test.cpp
+++ b/tests/process/request_flood_test.cpp
@@ -37,7 +37,7 @@
 }
 
 // Guards against urgent requests that are not served first under an overload of bookings.
-TEST_CASE("in a booking flood of twice the capacity urgent work is served first" *
+TEST_CASE("urgent requests are served first under a booking load of twice the capacity" *
           doctest::may_fail()) { // KNOWN-RED.txt
     process_cluster cluster(single_data_center_options(3, 2, 20, 2));
     cluster.start();
