--- a/tests/process/request_ledger_test.cpp
+++ b/tests/process/request_ledger_test.cpp
@@ -128,7 +128,7 @@
 }
 
 // Guards against running a request again when the record of its idempotency key may have been dropped.
-TEST_CASE("a key in UUIDv7 form that is older than the retention is refused, unless its answer is known") {
+TEST_CASE("a UUIDv7 key older than the retention is refused, and a younger one runs once") {
     process_cluster cluster(single_data_center_options(3, 2, 5));
     cluster.start();
     const auto uuid = [](std::chrono::milliseconds age, const std::string& tail) {
@@ -178,7 +178,7 @@
 
 // Guards against counting a restarted instance as a ledger replica although it lost its records: after a
 // restart of each instance in turn no replica would know the booking, and a resend would run again.
-TEST_CASE("a booking is known after each instance was restarted in turn" *
+TEST_CASE("the recorded answer of a booking survives a restart of each instance in turn" *
           doctest::may_fail()) { // KNOWN-RED.txt
     process_cluster cluster(single_data_center_options(3, 2, 10, 2));
     cluster.start();
