--- a/tests/process/stand_in_process_test.cpp
+++ b/tests/process/stand_in_process_test.cpp
@@ -120,7 +120,9 @@
 
 } // namespace
 
-TEST_CASE_FIXTURE(fixture, "a stand-in process ends or stops as real upstreams do") {
+// Guards against a stand-in that drains, crashes or freezes unlike a real upstream, so that the tests
+// that use it prove nothing.
+TEST_CASE_FIXTURE(fixture, "a stand-in process drains, crashes and freezes as a real upstream does") {
     child process(stand_in_arguments({"--crash-prefix", "crash-"}));
     wait_until_up();
     SUBCASE("SIGTERM cuts off no request in flight") {
@@ -134,13 +136,13 @@
         CHECK(result->failure == http_failure::none);
         CHECK(process.wait(2s) == 0);
     }
-    SUBCASE("a marked request ends the process at once, and its start is on record") {
+    SUBCASE("a key with the crash prefix ends the process at once, and the start of the run is on record") {
         CHECK(run(call_to("POST", "/work", "crash-1")).failure == http_failure::broken);
         CHECK(process.wait(2s) == 70);
         const auto found = judge_folder(folder, 100);
         CHECK(found.runs_by_idempotency_key.at("id") == 1);
     }
-    SUBCASE("a frozen process answers nothing, not even a probe on a new connection, and returns") {
+    SUBCASE("a frozen process answers nothing, not even a probe on a new connection, until the fault ends") {
         run(call_to("POST", "/stand-in/fault?kind=freeze&for_ms=800"));
         ::usleep(50000);
         auto probe = call_to("GET", "/kcs/health");
@@ -152,16 +154,17 @@
     }
 }
 
-TEST_CASE_FIXTURE(fixture, "a stand-in announces itself until it holds a grant, and that it drains") {
-    const auto instance = test::free_port();
+// Guards against an upstream that instances never learn of, or that they still use when it stops.
+TEST_CASE_FIXTURE(fixture, "a stand-in without a grant repeats its announcement and announces draining") {
+    const auto instance_port = test::free_port();
     std::vector<nlohmann::json> announced;
-    const http_server listener(context, {.listen = {"127.0.0.1", instance}, .max_body_bytes = 65536},
+    const http_server listener(context, {.listen = {"127.0.0.1", instance_port}, .max_body_bytes = 65536},
                                [&](const http_request& request, const http_reply& reply) {
                                    announced.push_back(nlohmann::json::parse(request.body));
                                    reply({202, {}, "{}"});
                                });
-    child process(
-        stand_in_arguments({"--instance", "127.0.0.1:" + std::to_string(instance), "--drain-limit", "1000"}));
+    child process(stand_in_arguments(
+        {"--instance", "127.0.0.1:" + std::to_string(instance_port), "--drain-limit", "1000"}));
     context.run_for(1300ms);
     REQUIRE(announced.size() >= 2);
     CHECK(announced.front().at("state") == "active");
@@ -174,6 +177,7 @@
     CHECK(process.wait(2s) == 0);
 }
 
+// Guards against a script that takes a mistyped command for a passed or failed check.
 TEST_CASE_FIXTURE(fixture, "exit codes of commands distinguish usage errors from violations") {
     CHECK(child({"load", "--help"}).wait(5s) == 0);
     CHECK(child({"stand-in", "--help"}).wait(5s) == 0);
