--- a/src/app/instance/entry.cpp
+++ b/src/app/instance/entry.cpp
@@ -20,7 +20,7 @@
            std::all_of(key.begin(), key.end(), [](char it) { return it > ' ' && it < 0x7f; });
 }
 
-void pass_header(const http_request& from, const std::string& name, wire::ForwardRequest& to) {
+void copy_header(const http_request& from, const std::string& name, wire::ForwardRequest& to) {
     if (auto value = from.header(name); !value.empty()) {
         wire::HeaderField field;
         field.name = name;
@@ -109,8 +109,8 @@
     it->request.target = request.target;
     it->request.body = request.body;
     it->request.idempotency_key = request.header("Idempotency-Key");
-    pass_header(request, "Content-Type", it->request);
-    pass_header(request, "X-Crash", it->request);
+    copy_header(request, "Content-Type", it->request);
+    copy_header(request, "X-Crash", it->request);
     return it;
 }
 
