--- a/src/app/instance/entry.cpp
+++ b/src/app/instance/entry.cpp
@@ -110,7 +110,7 @@
     it->request.body = request.body;
     it->request.idempotency_key = request.header("Idempotency-Key");
     copy_header(request, "Content-Type", it->request);
-    copy_header(request, "X-Crash", it->request);
+    copy_header(request, "X-Crash", it->request); // makes a stand-in upstream crash, for experiments
     return it;
 }
 
