--- a/tests/process/control_loss_test.cpp
+++ b/tests/process/control_loss_test.cpp
@@ -96,7 +96,7 @@
 }
 
 std::uint64_t count_recorded_runs(const process_cluster& cluster, const process_cluster::upstream& it) {
-    std::ifstream in(cluster.record_of(it));
+    std::ifstream in(cluster.record_file(it));
     std::uint64_t lines = 0;
     for (std::string line; std::getline(in, line);) {
         lines += line.find("\"start\"") != std::string::npos ? 1 : 0;
--- a/tests/process/request_fault_test.cpp
+++ b/tests/process/request_fault_test.cpp
@@ -48,7 +48,7 @@
                                    {"--fault", "late:0:60000:0.02", "--fault", "crossed:0:60000:0.05",
                                     "--fault", "cut-off:0:60000:0.05", "--late-by", "400"}));
     cluster.start();
-    const auto load = cluster.start_load(200, 4, {"--mix", "80:20:0", "--judge", cluster.records()});
+    const auto load = cluster.start_load(200, 4, {"--mix", "80:20:0", "--judge", cluster.records_folder()});
     REQUIRE(load->wait(15s));
     const auto report = cluster.load_report();
     std::uint64_t damaged = 0;
--- a/tests/process/request_flood_test.cpp
+++ b/tests/process/request_flood_test.cpp
@@ -23,7 +23,7 @@
     const auto load =
         cluster.start_load(0, 5,
                            {"--rank-rate", "urgent:400", "--rank-rate", "standard:60", "--rank-rate",
-                            "deferrable:0", "--warmup", "1", "--judge", cluster.records()});
+                            "deferrable:0", "--warmup", "1", "--judge", cluster.records_folder()});
     REQUIRE(load->wait(20s));
     const auto report = cluster.load_report();
     MESSAGE("urgent flood: urgent " << answer_rate(report, "urgent") << "/s, standard "
@@ -44,7 +44,7 @@
     const auto load =
         cluster.start_load(0, 5,
                            {"--rank-rate", "urgent:60", "--rank-rate", "standard:400", "--rank-rate",
-                            "deferrable:0", "--warmup", "1", "--judge", cluster.records()});
+                            "deferrable:0", "--warmup", "1", "--judge", cluster.records_folder()});
     REQUIRE(load->wait(20s));
     const auto report = cluster.load_report();
     MESSAGE("booking flood: urgent " << answer_rate(report, "urgent") << "/s, standard "
@@ -61,8 +61,8 @@
           doctest::may_fail()) { // KNOWN-RED.txt
     process_cluster cluster(single_data_center_options(4, 4, 20));
     cluster.start();
-    const auto load =
-        cluster.start_load(100, 5, {"--mix", "80:20:0", "--judge", cluster.records()}, {"a1", "a3", "a4"});
+    const auto load = cluster.start_load(100, 5, {"--mix", "80:20:0", "--judge", cluster.records_folder()},
+                                         {"a1", "a3", "a4"});
     ::usleep(1000000);
     cluster.upstream_at("u2").process->signal(SIGTERM);
     ::usleep(1500000);
@@ -88,7 +88,7 @@
     process_cluster cluster(
         single_data_center_options(3, 3, 5, 4, {"--load-misreport", "50", "--load-lag", "500"}));
     cluster.start();
-    const auto load = cluster.start_load(150, 3, {"--mix", "80:20:0", "--judge", cluster.records()});
+    const auto load = cluster.start_load(150, 3, {"--mix", "80:20:0", "--judge", cluster.records_folder()});
     REQUIRE(load->wait(15s));
     const auto report = cluster.load_report();
     MESSAGE(report.at("ranks").at("urgent").dump());
--- a/tests/process/request_support.h
+++ b/tests/process/request_support.h
@@ -43,7 +43,7 @@
 inline run_counts count_runs(process_cluster& cluster) {
     run_counts result;
     for (const auto& upstream : cluster.upstreams()) {
-        std::ifstream in(cluster.record_of(upstream));
+        std::ifstream in(cluster.record_file(upstream));
         for (std::string line; std::getline(in, line);) {
             const auto parsed = app::decode_record(upstream.name, line);
             const auto* run = std::get_if<app::run_event>(&parsed.event);
--- a/tests/support/process_cluster.h
+++ b/tests/support/process_cluster.h
@@ -199,7 +199,7 @@
                 durable_names_.push_back(it.name);
             }
         }
-        std::filesystem::create_directories(records());
+        std::filesystem::create_directories(records_folder());
         for (std::size_t n = 0; n < options_.upstreams; ++n) {
             const auto dc = n % options_.data_centers.size();
             upstream it;
@@ -260,7 +260,7 @@
                                            "--seed",
                                            std::to_string(it.seed),
                                            "--record",
-                                           record_of(it)};
+                                           record_file(it)};
         arguments.insert(arguments.end(), options_.upstream_options.begin(), options_.upstream_options.end());
         it.process = std::make_unique<child_process>(arguments, path(it.name + ".log"));
     }
@@ -412,7 +412,7 @@
     /// Checks the records of all stand-ins: no double run, no double owner, no run without a grant.
     nlohmann::json judge() {
         std::filesystem::remove(path("judge.log"));
-        const auto it = run("judge", {"load", "--judge", records(), "--json"});
+        const auto it = run("judge", {"load", "--judge", records_folder(), "--json"});
         REQUIRE(it->wait(std::chrono::seconds(20)));
         auto found = nlohmann::json::parse(read_file(path("judge.log"))).at("records");
         CAPTURE(found.dump(1));
@@ -445,8 +445,8 @@
         std::abort();
     }
     std::string path(const std::string& name) const { return (folder_.path() / name).string(); }
-    std::string records() const { return path("records"); }
-    std::string record_of(const upstream& it) const { return records() + "/" + it.name; }
+    std::string records_folder() const { return path("records"); }
+    std::string record_file(const upstream& it) const { return records_folder() + "/" + it.name; }
     std::string service() const { return options_.profile == "navalsig" ? "registry" : "records"; }
     static std::string read_file(const std::string& file) {
         const std::ifstream in(file, std::ios::binary);
