--- a/tests/process/control_profile_test.cpp
+++ b/tests/process/control_profile_test.cpp
@@ -66,7 +66,7 @@
             operators.emplace_back([&, n] {
                 http_caller http;
                 const auto id = "race-" + std::to_string(n);
-                answers[n] = http.send("POST", cluster.instances()[n].operators(),
+                answers[n] = http.send("POST", cluster.instances()[n].operator_address(),
                                        "/v1/profiles/navalsig?base_version=2&change_id=" + id,
                                        changed_text(cluster, id),
                                        {{"Authorization", std::string("Bearer ") + process_cluster::token}});
--- a/tests/process/request_cancel_test.cpp
+++ b/tests/process/request_cancel_test.cpp
@@ -17,8 +17,8 @@
         callers.emplace_back([&, n] {
             http_caller caller;
             while (!stop) {
-                caller.send("GET", cluster.instances()[n % 3].caller(), "/registry/rafts/k/history", {}, {},
-                            400ms);
+                caller.send("GET", cluster.instances()[n % 3].caller_address(), "/registry/rafts/k/history",
+                            {}, {}, 400ms);
                 ::usleep(20000);
             }
         });
--- a/tests/process/request_ledger_test.cpp
+++ b/tests/process/request_ledger_test.cpp
@@ -24,7 +24,7 @@
     for (int n = 0; n < 24; ++n) {
         callers.emplace_back([&, n] {
             http_caller caller;
-            const auto address = cluster.instances()[static_cast<std::size_t>(n % 3)].caller();
+            const auto address = cluster.instances()[static_cast<std::size_t>(n % 3)].caller_address();
             for (int i = 0; !stop; ++i) {
                 const auto id = "flood-" + std::to_string(n) + "-" + std::to_string(i);
                 const auto it = book_from(caller, address, id, id);
@@ -75,7 +75,7 @@
                 // At least two sends, so that a recorded answer is compared with the first one.
                 for (std::size_t attempt = 0; attempt < 6; ++attempt) {
                     const auto& entry = cluster.instances()[(n + i + attempt) % 4];
-                    it.answers.push_back(book_from(caller, entry.caller(), it.id, it.id, 400ms));
+                    it.answers.push_back(book_from(caller, entry.caller_address(), it.id, it.id, 400ms));
                     if (attempt > 0 && it.answers.back().ran()) {
                         break;
                     }
--- a/tests/support/process_cluster.h
+++ b/tests/support/process_cluster.h
@@ -167,10 +167,10 @@
         std::unique_ptr<child_process> process;
 
         std::string address(int offset) const { return ip + ":" + std::to_string(port + offset); }
-        std::string peer() const { return address(0); }
-        std::string caller() const { return address(2); }
-        std::string upstream() const { return address(3); }
-        std::string operators() const { return address(4); }
+        std::string peer_address() const { return address(0); }
+        std::string caller_address() const { return address(2); }
+        std::string upstream_address() const { return address(3); }
+        std::string operator_address() const { return address(4); }
     };
     struct upstream {
         std::string name;
@@ -241,7 +241,7 @@
         std::string announce_to;
         for (const auto& host : instances_) {
             if (host.data_center == it.data_center) {
-                announce_to.append(announce_to.empty() ? "" : ",").append(host.upstream());
+                announce_to.append(announce_to.empty() ? "" : ",").append(host.upstream_address());
             }
         }
         std::vector<std::string> arguments{"stand-in",
@@ -282,7 +282,7 @@
         std::string addresses;
         for (const auto& it : instances_) {
             if (names.empty() || contains(names, it.name)) {
-                addresses.append(addresses.empty() ? "" : ",").append(it.caller());
+                addresses.append(addresses.empty() ? "" : ",").append(it.caller_address());
             }
         }
         std::filesystem::remove(path("load.log"));
@@ -311,29 +311,30 @@
     }
     answer lookup(const instance& entry, const std::string& key,
                   duration timeout = std::chrono::milliseconds(300)) {
-        return http_.send("GET", entry.caller(), "/registry/rafts/" + key + "/history", {}, {}, timeout);
+        return http_.send("GET", entry.caller_address(), "/registry/rafts/" + key + "/history", {}, {},
+                          timeout);
     }
     /// Sends an at-most-once request with @p id as idempotency key.
     answer book(const instance& entry, const std::string& key, const std::string& id,
                 duration timeout = std::chrono::milliseconds(1500)) {
-        return http_.send("POST", entry.caller(), "/registry/rafts/" + key + "/bookings", "body",
+        return http_.send("POST", entry.caller_address(), "/registry/rafts/" + key + "/bookings", "body",
                           {{"Idempotency-Key", id}}, timeout);
     }
     answer change_profile(const instance& it, const std::string& name, std::uint64_t base,
                           const std::string& change_id, const std::string& content) {
-        return call(it.operators(),
+        return call(it.operator_address(),
                     "/v1/profiles/" + name + "?base_version=" + std::to_string(base) +
                         "&change_id=" + change_id,
                     "POST", content);
     }
     nlohmann::json status(const instance& it, duration timeout = std::chrono::milliseconds(500)) {
-        const auto found = call(it.operators(), "/v1/status", "GET", {}, timeout);
+        const auto found = call(it.operator_address(), "/v1/status", "GET", {}, timeout);
         return found.status == 200 ? found.json() : nlohmann::json();
     }
     /// @returns the accepted version of the profile in the view of the instance; 0 without an answer
     std::uint64_t profile_version(const instance& it, const std::string& name) {
         const auto found =
-            call(it.operators(), "/v1/profiles/" + name, "GET", {}, std::chrono::milliseconds(500));
+            call(it.operator_address(), "/v1/profiles/" + name, "GET", {}, std::chrono::milliseconds(500));
         return found.status == 200 ? found.json().at("version").get<std::uint64_t>() : 0;
     }
     std::string profile_text() const {
@@ -355,7 +356,7 @@
     // -- observations
 
     bool ready(const instance& it) {
-        return call(it.operators(), "/ready", "GET", {}, std::chrono::milliseconds(300)).status == 200;
+        return call(it.operator_address(), "/ready", "GET", {}, std::chrono::milliseconds(300)).status == 200;
     }
     /// True when every running instance is ready and sees an owner for every shard of its own data centre.
     bool all_owned() {
@@ -498,10 +499,10 @@
         }
         std::ostringstream out;
         out << options_.extra_settings << "name = \"" << it.name << "\"\ndata_center = \"" << it.data_center
-            << "\"\npeer_listen = \"" << it.peer() << "\"\ncaller_listen = \"" << it.caller()
-            << "\"\nupstream_listen = \"" << it.upstream() << "\"\noperator_listen = \"" << it.operators()
-            << "\"\noperator_token = \"" << token << "\"\ndata_center_size = " << size
-            << "\nglobal_voters = [";
+            << "\"\npeer_listen = \"" << it.peer_address() << "\"\ncaller_listen = \"" << it.caller_address()
+            << "\"\nupstream_listen = \"" << it.upstream_address() << "\"\noperator_listen = \""
+            << it.operator_address() << "\"\noperator_token = \"" << token
+            << "\"\ndata_center_size = " << size << "\nglobal_voters = [";
         const auto& voters = options_.global_voters.empty() ? durable_names_ : options_.global_voters;
         for (std::size_t n = 0; n < voters.size(); ++n) {
             out << (n == 0 ? "" : ", ") << '"' << voters[n] << '"';
@@ -513,7 +514,7 @@
         for (const auto& other : instances_) {
             if (other.durable) {
                 out << "[[seeds]]\nname = \"" << other.name << "\"\ndata_center = \"" << other.data_center
-                    << "\"\naddress = \"" << other.peer() << "\"\n";
+                    << "\"\naddress = \"" << other.peer_address() << "\"\n";
             }
         }
         return out.str();
