--- a/idl/directory.thrift
+++ b/idl/directory.thrift
@@ -1,6 +1,6 @@
 // The replicated directory: the operators' configuration, the registered upstreams and the owners of key
-// ranges. Stored in the log and snapshots of the control instances and sent to the entries. Field numbers are
-// never reused.
+// ranges. Stored in the log and snapshots of the control instances and sent to the entry instances. Field numbers
+// are never reused.
 namespace cpp kingcupseam.wire
 
 struct WeightedService {
@@ -51,9 +51,11 @@
   5: string address
   6: i32 slots
   7: bool draining
+  // Has announced that it ends; it may serve for a few more seconds.
   8: bool left
 }
 
+// Keys first to last, both included. epoch is the log index of the assignment.
 struct KeyRange {
   1: string service_name
   2: i32 first
@@ -77,6 +79,7 @@
   2: list<RegisteredUpstream> upstreams
   3: list<string> removed_upstreams
   4: list<RangeAssignment> assignments
+  // Gives every range the epoch of this command and joins adjacent ranges of one owner.
   5: bool renumber_epochs
 }
 
@@ -110,6 +113,7 @@
 // A poison request: a request that was in progress at upstreams that crashed.
 struct WatchedRequest {
   1: i64 digest
+  // Not sent to upstreams any more.
   2: bool refused
 }
 
@@ -121,7 +125,9 @@
   6: list<WatchedRequest> watched
 }
 
+// Sent to control instances by entry instances and by other control instances.
 struct JoinRequest {
+  // True from a control instance, which may become a voter.
   1: bool wants_vote
   2: bool leaving
 }
@@ -153,7 +159,8 @@
   4: list<i64> survived
 }
 
-// An order of an operator or an upstream, forwarded to the leader by the control instance that received it.
+// A request of an operator or an upstream that only the leader can serve, forwarded by the control instance that
+// received it. src/router/control_orders.h lists the kinds.
 struct ControlOrder {
   1: i8 kind
   2: binary payload
