--- a/idl/ownership.thrift
+++ b/idl/ownership.thrift
@@ -43,7 +43,9 @@
 
 struct LedgerGroup {
   1: list<string> replicas
+  // Instances that copy the ledger windows and do not count as replicas yet.
   2: list<string> joining
+  // Unix time at which the group was reset because a majority of its windows was lost; 0 if never.
   3: i64 reset_ms
 }
 
@@ -58,10 +60,11 @@
 
 // Lists of shards in the commands are delta-encoded; they are mostly ascending.
 
-// homes: the shards of the service that are placed in this data centre.
 struct RegisterUpstream {
   1: UpstreamRow row
+  // Number of shards of the service.
   2: i32 shards
+  // Shards of the service that are placed in this data centre; empty if all are.
   3: list<i32> homes
 }
 
@@ -69,6 +72,8 @@
   1: string upstream
   2: i64 incarnation
   3: i8 condition
+  // Highest epoch that the observer of the condition knew: the command is ignored if the row has a higher one. 0 for
+  // any epoch.
   4: i64 observed
 }
 
@@ -78,6 +83,7 @@
   3: string standby
 }
 
+// begin_move marks the shards and hot keys as moving; they keep their owner until complete_move.
 struct Move {
   1: string service_name
   2: list<i32> shards
