--- a/idl/peer.thrift
+++ b/idl/peer.thrift
@@ -34,6 +34,7 @@
   11: i64 deadline_us
   12: string upstream
   13: i64 epoch
+  // The receiver is the standby of the upstream, not its gate.
   14: bool to_standby
   15: string idempotency_key
 }
@@ -102,6 +103,7 @@
   2: i64 incarnation
 }
 
+// Encodes consensus::message of include/kingcupseam/consensus.h, which documents the fields.
 struct ConsensusMessage {
   1: i8 kind
   2: i64 group
@@ -206,7 +208,9 @@
 struct StateRequest {
   1: i64 known_version
   2: InstanceInfo sender
+  // Number of instances that the sender knows, itself included. The reply lists the instances if its sender knows more.
   3: i64 known_instances
+  // The sender has had no lease from a leader of its data centre's group for some time.
   4: bool ungrouped
   5: i64 generation
   6: i32 data_center_size
@@ -217,6 +221,7 @@
   2: binary state
   3: string leader
   4: list<InstanceInfo> instances
+  // The sender leads the global group.
   5: bool authoritative
 }
 
@@ -225,7 +230,9 @@
 }
 
 struct VoterStatusReply {
+  // Random number of the sender's stored log, another one after the loss of its disk; 0 if it has no log.
   1: i64 identity
+  // The log is not empty: the global group has been formed.
   2: bool formed
 }
 
@@ -243,6 +250,7 @@
 struct SuspectUpdate {
   1: string request_digest
   2: i32 crashes
+  // The request ran alone since the last crash and runs normally until the next one.
   3: bool survived
   4: i64 remaining_ms
 }
