--- a/idl/profile.thrift
+++ b/idl/profile.thrift
@@ -20,6 +20,7 @@
   2: i32 shards
 }
 
+// Result of a recent change, returned again if the same change is repeated.
 struct RememberedChange {
   1: string change_id
   2: i64 digest
