--- a/idl/state.thrift
+++ b/idl/state.thrift
@@ -3,10 +3,12 @@
 
 include "peer.thrift"
 
+// A new generation of a data centre's group.
 struct GroupFormation {
   1: string data_center
   2: i64 generation
   3: list<peer.Member> voters
+  // Routing table with which the generation starts: the last mirrored one.
   4: binary table
 }
 
@@ -17,6 +19,7 @@
   3: list<i16> homes
 }
 
+// Copy of a data centre's routing table, from which a new generation of its group starts.
 struct TableMirror {
   1: string data_center
   2: i64 generation
