--- a/tools/demo.py
+++ b/tools/demo.py
@@ -7,12 +7,12 @@
 import tempfile
 import time
 
-import cluster
+import local_cluster
 
 
 def parse_arguments():
     parser = argparse.ArgumentParser(prog="tools/demo", description=__doc__)
-    parser.add_argument("--firm", choices=sorted(cluster.FIRMS), default="navalsig")
+    parser.add_argument("--firm", choices=sorted(local_cluster.FIRMS), default="navalsig")
     parser.add_argument("--rate", type=int, default=900, help="requests per second")
     parser.add_argument("--seconds", type=int, default=20, help="duration of the load")
     parser.add_argument("--base-port", type=int, default=21000,
@@ -38,7 +38,7 @@
 
 def run(running, options):
     running.start_instances()
-    running.accept_profile(os.path.join(cluster.ROOT, "profiles", options.firm + ".toml"))
+    running.accept_profile(os.path.join(local_cluster.ROOT, "profiles", options.firm + ".toml"))
     running.start_upstreams()
     running.wait_until_owned()
     print(f"3 data centres, {len(running.instances)} instances, {len(running.upstreams)} upstreams:")
@@ -60,11 +60,11 @@
 
 def main():
     options = parse_arguments()
-    binary = os.path.join(cluster.ROOT, "build", "kingcupseam")
+    binary = os.path.join(local_cluster.ROOT, "build", "kingcupseam")
     with tempfile.TemporaryDirectory(prefix="kingcupseam-") as folder:
-        run_folder = os.path.join(cluster.ROOT, "run", "demo") if options.keep else os.path.join(folder, "demo")
-        running = cluster.Cluster(run_folder, binary, options.firm, base_port=options.base_port,
-                                  upstream_port=options.base_port + 10000)
+        run_folder = os.path.join(local_cluster.ROOT, "run", "demo") if options.keep else os.path.join(folder, "demo")
+        running = local_cluster.Cluster(run_folder, binary, options.firm, base_port=options.base_port,
+                                        upstream_port=options.base_port + 10000)
         try:
             code = run(running, options)
         finally:
--- a/tools/measure_common.py
+++ b/tools/measure_common.py
@@ -7,13 +7,13 @@
 import tempfile
 import time
 
-import cluster
+import local_cluster
 
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 # Second byte of the loopback addresses of the first cluster. The demonstration uses 0, so that both can run on one
 # machine.
 NETWORK = 64
-BINARY = os.path.join(cluster.ROOT, "build", "kingcupseam")
+BINARY = os.path.join(local_cluster.ROOT, "build", "kingcupseam")
 
 
 def processor_seconds(pid):
@@ -56,10 +56,10 @@
 def started_cluster(network=0, **settings):
     """Starts a cluster, waits until every shard has an owner, and stops the cluster on exit from the context."""
     with tempfile.TemporaryDirectory(prefix="kingcupseam-") as folder:
-        running = cluster.Cluster(os.path.join(folder, "run"), BINARY, network=NETWORK + network, **settings)
+        running = local_cluster.Cluster(os.path.join(folder, "run"), BINARY, network=NETWORK + network, **settings)
         try:
             running.start_instances()
-            running.accept_profile(os.path.join(cluster.ROOT, "profiles", running.firm + ".toml"))
+            running.accept_profile(os.path.join(local_cluster.ROOT, "profiles", running.firm + ".toml"))
             running.start_upstreams()
             running.wait_until_owned(60)
             yield running
--- a/tools/measure_outage.py
+++ b/tools/measure_outage.py
@@ -9,7 +9,7 @@
 import time
 import uuid
 
-import cluster
+import local_cluster
 import measure_common as common
 
 SPACING_S = 0.02
--- a/tools/measure_routing.py
+++ b/tools/measure_routing.py
@@ -4,7 +4,7 @@
 import statistics
 import time
 
-import cluster
+import local_cluster
 import measure_common as common
 
 # Long enough that the upstreams, not the machine, limit the load; well below the 250 ms deadline of urgent requests.
@@ -27,7 +27,8 @@
 
 
 def capacities(firm):
-    return [count * slots * 1000 / SERVICE_TIME_MS[firm] for _, count, slots, _ in cluster.FIRMS[firm]["services"]]
+    return [count * slots * 1000 / SERVICE_TIME_MS[firm]
+            for _, count, slots, _ in local_cluster.FIRMS[firm]["services"]]
 
 
 def rates_by_load(firm):
@@ -56,7 +57,7 @@
 
 
 def load_rows(firm, routing, options):
-    network = 5 + list(cluster.FIRMS).index(firm)
+    network = 5 + list(local_cluster.FIRMS).index(firm)
     for seed in range(1, options.seeds + 1):
         for name in options.loads.split(","):
             rates = rates_by_load(firm)[name]
