--- a/tools/demo.py
+++ b/tools/demo.py
@@ -21,40 +21,40 @@
     return parser.parse_args()
 
 
-def print_owners(running):
-    status = running.status(running.instances[0])
+def print_owners(cluster):
+    status = cluster.status(cluster.instances[0])
     for table in status["data_centers"]:
         live = [up for up in table["upstreams"] if up["condition"] == "active"]
         gates = {up["gate"] for up in live}
         print(f"  {table['data_center']}: {len(live)} upstreams active behind {len(gates)} gates")
 
 
-def run_load(running, options):
-    arguments = [running.binary, "load", "--firm", options.firm,
-                 "--address", ",".join(it.caller for it in running.instances), "--rate", str(options.rate),
-                 "--duration", str(options.seconds), "--resend", "0.05", "--judge", running.records]
+def run_load(cluster, options):
+    arguments = [cluster.binary, "load", "--firm", options.firm,
+                 "--address", ",".join(it.caller for it in cluster.instances), "--rate", str(options.rate),
+                 "--duration", str(options.seconds), "--resend", "0.05", "--judge", cluster.records]
     return subprocess.Popen(arguments, stdin=subprocess.DEVNULL)
 
 
-def run(running, options):
-    running.start_instances()
-    running.accept_profile(os.path.join(local_cluster.ROOT, "profiles", options.firm + ".toml"))
-    running.start_upstreams()
-    running.wait_until_owned()
-    print(f"3 data centres, {len(running.instances)} instances, {len(running.upstreams)} upstreams:")
-    print_owners(running)
+def run(cluster, options):
+    cluster.start_instances()
+    cluster.accept_profile(os.path.join(local_cluster.ROOT, "profiles", options.firm + ".toml"))
+    cluster.start_upstreams()
+    cluster.wait_until_owned()
+    print(f"3 data centres, {len(cluster.instances)} instances, {len(cluster.upstreams)} upstreams:")
+    print_owners(cluster)
     print(f"{options.rate} requests/s for {options.seconds} s", flush=True)
-    load = run_load(running, options)
+    load = run_load(cluster, options)
     time.sleep(options.seconds * 0.35)
-    victim = running.instances[1]
+    victim = cluster.instances[1]
     print(f"killing instance {victim.name}", flush=True)
-    running.kill_instance(victim)
+    cluster.kill_instance(victim)
     time.sleep(options.seconds * 0.3)
-    upstream = running.services[0][0] + "-5"
+    upstream = cluster.services[0][0] + "-5"
     print(f"killing upstream {upstream}", flush=True)
-    running.kill_upstream(upstream)
+    cluster.kill_upstream(upstream)
     code = load.wait(timeout=options.seconds + 60)
-    print_owners(running)
+    print_owners(cluster)
     return code
 
 
@@ -63,12 +63,12 @@
     binary = os.path.join(local_cluster.ROOT, "build", "kingcupseam")
     with tempfile.TemporaryDirectory(prefix="kingcupseam-") as folder:
         run_folder = os.path.join(local_cluster.ROOT, "run", "demo") if options.keep else os.path.join(folder, "demo")
-        running = local_cluster.Cluster(run_folder, binary, options.firm, base_port=options.base_port,
+        cluster = local_cluster.Cluster(run_folder, binary, options.firm, base_port=options.base_port,
                                         upstream_port=options.base_port + 10000)
         try:
-            code = run(running, options)
+            code = run(cluster, options)
         finally:
-            late = running.stop()
+            late = cluster.stop()
     if late:
         print("did not stop by themselves:", ", ".join(late))
         code = code or 1
--- a/tools/measure_common.py
+++ b/tools/measure_common.py
@@ -44,8 +44,8 @@
         return self
 
 
-def instance_processes(running):
-    return {it.name: it.process for it in running.instances if it.process is not None}
+def instance_processes(cluster):
+    return {it.name: it.process for it in cluster.instances if it.process is not None}
 
 
 def load_average():
@@ -56,20 +56,20 @@
 def started_cluster(network=0, **settings):
     """Starts a cluster, waits until every shard has an owner, and stops the cluster on exit from the context."""
     with tempfile.TemporaryDirectory(prefix="kingcupseam-") as folder:
-        running = local_cluster.Cluster(os.path.join(folder, "run"), BINARY, network=NETWORK + network, **settings)
+        cluster = local_cluster.Cluster(os.path.join(folder, "run"), BINARY, network=NETWORK + network, **settings)
         try:
-            running.start_instances()
-            running.accept_profile(os.path.join(local_cluster.ROOT, "profiles", running.firm + ".toml"))
-            running.start_upstreams()
-            running.wait_until_owned(60)
-            yield running
+            cluster.start_instances()
+            cluster.accept_profile(os.path.join(local_cluster.ROOT, "profiles", cluster.firm + ".toml"))
+            cluster.start_upstreams()
+            cluster.wait_until_owned(60)
+            yield cluster
         finally:
-            running.stop()
+            cluster.stop()
 
 
-def start_load(running, *arguments, instances=None):
-    addresses = ",".join(it.caller for it in instances or running.instances if it.process is not None)
-    return subprocess.Popen([BINARY, "load", "--firm", running.firm, "--address", addresses, "--json",
+def start_load(cluster, *arguments, instances=None):
+    addresses = ",".join(it.caller for it in instances or cluster.instances if it.process is not None)
+    return subprocess.Popen([BINARY, "load", "--firm", cluster.firm, "--address", addresses, "--json",
                              *[str(it) for it in arguments]],
                             stdin=subprocess.DEVNULL, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
 
--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -20,9 +20,9 @@
     parser.add_argument("--rate-per-instance", type=int, default=30, help="requests/s under load")
 
 
-def read_metrics(running, it):
+def read_metrics(cluster, it):
     result = {}
-    for name, tags, value in METRIC.findall(running.call(it.operator, "/metrics")):
+    for name, tags, value in METRIC.findall(cluster.call(it.operator, "/metrics")):
         result[name, tags] = float(value)
     return result
 
@@ -32,11 +32,11 @@
                if key == name and all(it in key_tags for it in tags))
 
 
-def instance_roles(running):
+def instance_roles(cluster):
     """Returns the role of each instance in its data centre's group: leader, durable voter, voter or other."""
     result = {}
-    for it in running.instances:
-        group = running.status(it).get("data_center_group") or {"leads": False, "voters": []}
+    for it in cluster.instances:
+        group = cluster.status(it).get("data_center_group") or {"leads": False, "voters": []}
         if group["leads"]:
             result[it.name] = "leader, durable" if it.durable else "leader"
         elif it.durable:
@@ -46,17 +46,17 @@
     return result
 
 
-def measure_instances(running, seconds):
+def measure_instances(cluster, seconds):
     """Returns per instance: bytes/s sent and received, heartbeats included; frames/s without heartbeats; cores in use;
     resident bytes."""
-    before = {it.name: read_metrics(running, it) for it in running.instances}
-    cpu_before = {it.name: common.processor_seconds(it.process.pid) for it in running.instances}
+    before = {it.name: read_metrics(cluster, it) for it in cluster.instances}
+    cpu_before = {it.name: common.processor_seconds(it.process.pid) for it in cluster.instances}
     started = time.monotonic()
     time.sleep(seconds)
     elapsed = time.monotonic() - started
     result = {}
-    for it in running.instances:
-        a, b = before[it.name], read_metrics(running, it)
+    for it in cluster.instances:
+        a, b = before[it.name], read_metrics(cluster, it)
         rate = lambda name, *tags, a=a, b=b: (sum_metric(b, name, *tags) - sum_metric(a, name, *tags)) / elapsed
         frames = rate("kingcupseam_control_frames_received_total")
         frame_bytes = rate("kingcupseam_control_frame_bytes_received_total")
@@ -104,16 +104,16 @@
         upstreams = options.upstreams_per_instance * instances
         second = max(3, upstreams // 6)
         services = (("registry", upstreams - second, 2, 120), ("repack", second, 2, 120))
-        with common.started_cluster(network=3, firm="navalsig", per_data_center=size, services=services) as running:
+        with common.started_cluster(network=3, firm="navalsig", per_data_center=size, services=services) as cluster:
             time.sleep(3)
-            role_of = instance_roles(running)
+            role_of = instance_roles(cluster)
             for state in ("idle", "loaded"):
                 load = None
                 if state == "loaded":
-                    load = common.start_load(running, "--rate", options.rate_per_instance * instances, "--duration",
+                    load = common.start_load(cluster, "--rate", options.rate_per_instance * instances, "--duration",
                                              options.seconds + 4)
                     time.sleep(2)
-                measured = measure_instances(running, options.seconds)
+                measured = measure_instances(cluster, options.seconds)
                 if load:
                     common.finish_load(load, 60)
                 rows += format_rows(instances, upstreams, state, role_of, measured)
--- a/tools/measure_instance.py
+++ b/tools/measure_instance.py
@@ -16,13 +16,13 @@
     services = (("registry", options.upstreams, 16, 120), ("repack", 1, 2, 120))
     rows = []
     with common.started_cluster(network=4, firm="navalsig", per_data_center=sizes, services=services,
-                                service_time_ms=0.5) as running:
+                                service_time_ms=0.5) as cluster:
         for text in options.rates.split(","):
-            processes = common.instance_processes(running)
-            load = common.start_load(running, "--rank-rate", f"urgent:{text}", "--rank-rate", "standard:0",
+            processes = common.instance_processes(cluster)
+            load = common.start_load(cluster, "--rank-rate", f"urgent:{text}", "--rank-rate", "standard:0",
                                      "--rank-rate", "deferrable:0", "--duration", options.seconds)
             processes["load"] = load
-            processes["registry-1"] = running.upstreams["registry-1"]
+            processes["registry-1"] = cluster.upstreams["registry-1"]
             use = common.ProcessorUse(processes)
             try:
                 load.wait(0.9 * options.seconds)
@@ -31,7 +31,7 @@
             use.stop()
             it = common.finish_load(load, 60)["ranks"]["urgent"]
             served = it["answered"] / options.seconds
-            instances = sum(use.cores[name] for name in common.instance_processes(running))
+            instances = sum(use.cores[name] for name in common.instance_processes(cluster))
             rows.append([text, f"{served:.0f}", f"{100 * it['service']:.1f}%", it["latency_ms"]["p50"],
                          it["latency_ms"]["p99"], f"{instances:.2f}", f"{served / max(instances, 0.01):.0f}",
                          f"{use.cores['load']:.2f}", f"{use.cores['registry-1']:.2f}", f"{use.machine:.1f}",
--- a/tools/measure_outage.py
+++ b/tools/measure_outage.py
@@ -107,24 +107,24 @@
     return (min(served) - lost_at) * 1000 if served else None
 
 
-def status_of(running, name="a1"):
-    return running.status(next(it for it in running.instances if it.name == name))
+def status_of(cluster, name="a1"):
+    return cluster.status(next(it for it in cluster.instances if it.name == name))
 
 
-def find_leader(running, data_center):
+def find_leader(cluster, data_center):
     """Returns the name of the leader and the names of the voters of the data centre's group."""
-    for it in running.instances:
+    for it in cluster.instances:
         if it.data_center == data_center and it.process is not None:
-            group = running.status(it).get("data_center_group")
+            group = cluster.status(it).get("data_center_group")
             if group and group["leads"]:
                 return it.name, group["voters"]
     raise RuntimeError("no leader in " + data_center)
 
 
-def choose_victims(running, kind, owners, rng):
+def choose_victims(cluster, kind, owners, rng):
     """Returns the names of the instances to kill, of the upstream to kill, and of the upstreams to probe."""
-    leader, voters = find_leader(running, "north")
-    table = next(it for it in status_of(running)["data_centers"] if it["data_center"] == "north")
+    leader, voters = find_leader(cluster, "north")
+    table = next(it for it in status_of(cluster)["data_centers"] if it["data_center"] == "north")
     owning = set(owners.values())
     gate_of = {it["name"]: it["gate"] for it in table["upstreams"] if it["name"] in owning}
     if kind == "nothing":
@@ -142,22 +142,22 @@
     return lost, None, {up for up, its_gate in gate_of.items() if its_gate in lost}
 
 
-async def run_repetition(running, kind, options, rng):
-    entry = next(it for it in running.instances if it.data_center == "east")
+async def run_repetition(cluster, kind, options, rng):
+    entry = next(it for it in cluster.instances if it.data_center == "east")
     owners = await find_owners(entry.caller, [f"key-{n}" for n in range(240)])
-    lost_instances, lost_upstream, probed = choose_victims(running, kind, owners, rng)
+    lost_instances, lost_upstream, probed = choose_victims(cluster, kind, owners, rng)
     keys = [key for key, up in owners.items() if up in probed]
     keys = rng.sample(keys, min(KEYS_PER_PROBE, len(keys)))
-    addresses = [it.caller for it in running.instances if it.name not in lost_instances]
+    addresses = [it.caller for it in cluster.instances if it.name not in lost_instances]
     probes = Probes(addresses, keys)
     sending = asyncio.create_task(probes.send_until(time.monotonic() + 0.5 + options.after))
     await asyncio.sleep(0.5)
     lost_at = time.monotonic()
-    for it in running.instances:
+    for it in cluster.instances:
         if it.name in lost_instances:
-            running.kill_instance(it)
+            cluster.kill_instance(it)
     if lost_upstream:
-        running.kill_upstream(lost_upstream)
+        cluster.kill_upstream(lost_upstream)
     await sending
     result = {}
     seen = {}
@@ -177,8 +177,8 @@
     for kind in options.kinds.split(","):
         for n in range(options.repetitions):
             load = common.load_average()
-            with common.started_cluster(network=2, firm="navalsig", service_time_ms=SERVICE_TIME_MS) as running:
-                victims, keys, result, seen = asyncio.run(run_repetition(running, kind, options, rng))
+            with common.started_cluster(network=2, firm="navalsig", service_time_ms=SERVICE_TIME_MS) as cluster:
+                victims, keys, result, seen = asyncio.run(run_repetition(cluster, kind, options, rng))
             missed = any(it is None or it > options.bound_ms for it in result.values())
             missed_bounds.append(missed)
             unserved = "not served again" if keys else "no key was served before the loss"
--- a/tools/measure_routing.py
+++ b/tools/measure_routing.py
@@ -41,18 +41,18 @@
     return result
 
 
-def measure_load(running, rates, seed, options):
+def measure_load(cluster, rates, seed, options):
     arguments = []
     for rank, rate in zip(RANKS, rates):
         arguments += ["--rank-rate", f"{rank}:{rate:.1f}"]
-    use = common.ProcessorUse(common.instance_processes(running))
-    load = common.start_load(running, *arguments, "--duration", options.seconds, "--warmup", options.warmup,
+    use = common.ProcessorUse(common.instance_processes(cluster))
+    load = common.start_load(cluster, *arguments, "--duration", options.seconds, "--warmup", options.warmup,
                              "--seed", seed)
     time.sleep(options.seconds)
     use.stop()
     time.sleep(LONGEST_DEADLINE_S + 0.5)
     # After an overload the load generator exits only when its idle connections are closed: stop the instances first.
-    running.stop()
+    cluster.stop()
     return common.finish_load(load, 60), use
 
 
@@ -63,8 +63,8 @@
             rates = rates_by_load(firm)[name]
             load_before = common.load_average()
             with common.started_cluster(network=network, firm=firm, routing=routing,
-                                        service_time_ms=SERVICE_TIME_MS[firm]) as running:
-                report, use = measure_load(running, rates, seed, options)
+                                        service_time_ms=SERVICE_TIME_MS[firm]) as cluster:
+                report, use = measure_load(cluster, rates, seed, options)
             row = [firm, routing, name, seed]
             for rank in RANKS:
                 it = report["ranks"][rank]
@@ -99,8 +99,8 @@
     with common.started_cluster(routing="gate", **settings) as gate, \
             common.started_cluster(network=1, routing="direct", **settings) as direct:
         for n in range(options.hop_repetitions):
-            for routing, running in (("gate", gate), ("direct", direct)):
-                load = common.start_load(running, "--rank-rate", "urgent:150", "--rank-rate", "standard:0",
+            for routing, cluster in (("gate", gate), ("direct", direct)):
+                load = common.start_load(cluster, "--rank-rate", "urgent:150", "--rank-rate", "standard:0",
                                          "--rank-rate", "deferrable:0", "--duration", 6, "--warmup", 1,
                                          "--seed", n + 1)
                 report = common.finish_load(load, 60)
