--- a/tools/demo.py
+++ b/tools/demo.py
@@ -38,9 +38,9 @@
 
 def run(cluster, options):
     cluster.start_instances()
-    cluster.accept_profile(os.path.join(local_cluster.ROOT, "profiles", options.firm + ".toml"))
+    cluster.submit_profile(os.path.join(local_cluster.ROOT, "profiles", options.firm + ".toml"))
     cluster.start_upstreams()
-    cluster.wait_until_owned()
+    cluster.wait_until_shards_owned()
     print(f"3 data centres, {len(cluster.instances)} instances, {len(cluster.upstreams)} upstreams:")
     print_owners(cluster)
     print(f"{options.rate} requests/s for {options.seconds} s", flush=True)
--- a/tools/local_cluster.py
+++ b/tools/local_cluster.py
@@ -125,13 +125,13 @@
                 self.start_upstream(f"{service}-{n + 1}", service, slots, connections,
                                     data_centers[n % len(data_centers)], port, port)
 
-    def call(self, address, path, body=None, timeout=3):
+    def send_operator_request(self, address, path, body=None, timeout=3):
         request = urllib.request.Request(f"http://{address}{path}", data=body,
                                          headers={"Authorization": "Bearer " + TOKEN})
         with urllib.request.urlopen(request, timeout=timeout) as answer:
             return answer.read().decode()
 
-    def accept_profile(self, path, timeout=20):
+    def submit_profile(self, path, timeout=20):
         """Submits the profile to the instances in turn, repeating the same change until the global group accepts it."""
         name = os.path.splitext(os.path.basename(path))[0]
         with open(path, "rb") as file:
@@ -140,16 +140,17 @@
         while True:
             for it in self.instances:
                 try:
-                    return self.call(it.operator, f"/v1/profiles/{name}?base_version=0&change_id=first", content)
+                    return self.send_operator_request(
+                        it.operator, f"/v1/profiles/{name}?base_version=0&change_id=first", content)
                 except (urllib.error.URLError, OSError):
                     if time.monotonic() > end:
                         raise
             time.sleep(0.2)
 
     def status(self, it):
-        return json.loads(self.call(it.operator, "/v1/status"))
+        return json.loads(self.send_operator_request(it.operator, "/v1/status"))
 
-    def all_owned(self, it):
+    def all_shards_owned(self, it):
         """True if the instance is ready and reports an owner for every shard of every service."""
         try:
             status = self.status(it)
@@ -160,11 +161,11 @@
         seen = {up["service"] for table in tables for up in table["upstreams"] if up["shards"] > 0}
         return status["ready"] and wanted <= seen and all(t["shards_without_owner"] == 0 for t in tables)
 
-    def wait_until_owned(self, timeout=30):
+    def wait_until_shards_owned(self, timeout=30):
         end = time.monotonic() + timeout
         pending = [it for it in self.instances if it.process is not None]
         while pending:
-            pending = [it for it in pending if not self.all_owned(it)]
+            pending = [it for it in pending if not self.all_shards_owned(it)]
             if pending and time.monotonic() > end:
                 raise TimeoutError("not ready: " + ", ".join(it.name for it in pending))
             time.sleep(0.1)
--- a/tools/measure_common.py
+++ b/tools/measure_common.py
@@ -59,9 +59,9 @@
         cluster = local_cluster.Cluster(os.path.join(folder, "run"), BINARY, network=NETWORK + network, **settings)
         try:
             cluster.start_instances()
-            cluster.accept_profile(os.path.join(local_cluster.ROOT, "profiles", cluster.firm + ".toml"))
+            cluster.submit_profile(os.path.join(local_cluster.ROOT, "profiles", cluster.firm + ".toml"))
             cluster.start_upstreams()
-            cluster.wait_until_owned(60)
+            cluster.wait_until_shards_owned(60)
             yield cluster
         finally:
             cluster.stop()
--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -22,7 +22,7 @@
 
 def read_metrics(cluster, it):
     result = {}
-    for name, tags, value in METRIC.findall(cluster.call(it.operator, "/metrics")):
+    for name, tags, value in METRIC.findall(cluster.send_operator_request(it.operator, "/metrics")):
         result[name, tags] = float(value)
     return result
 
