--- a/tools/local_cluster.py
+++ b/tools/local_cluster.py
@@ -11,7 +11,9 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 TOKEN = "local-operator-token"
-PORTS_PER_INSTANCE = 10  # offsets: 0 peer, 1 peer traffic, 2 caller, 3 upstream, 4 operator
+# Offsets from the base port: 0 control frames of peers, 1 forwarded requests and ledger frames of peers, 2 callers,
+# 3 upstreams, 4 operators.
+PORTS_PER_INSTANCE = 10
 
 # Services of each firm: name, number of upstreams, slots and connections of each upstream.
 FIRMS = {
@@ -21,7 +23,8 @@
 
 
 class Instance:
-    """Addresses, files and process of one instance."""
+    """Addresses and process of one instance. A durable instance has a data folder, is a seed and is an initial voter of
+    the global group."""
 
     def __init__(self, name, data_center, ip, base_port, durable):
         self.name = name
@@ -52,7 +55,8 @@
 
 
 class Cluster:
-    """Instances of three data centres and the upstreams of one firm, on addresses 127.network.x.1."""
+    """Instances of three data centres and the upstreams of one firm, on addresses 127.NETWORK.N.1 with N = 1 to 3 for
+    the data centres. The first instance of each data centre is durable. The upstreams start with start_upstreams()."""
 
     def __init__(self, run_folder, binary, firm="navalsig", per_data_center=(4, 3, 3), services=None,
                  routing="gate", service_time_ms=10, base_port=21000, upstream_port=31000, stand_in_options=(),
@@ -77,16 +81,17 @@
         shutil.rmtree(run_folder, ignore_errors=True)
         os.makedirs(self.records)
 
-    def _settings(self, it):
-        size = sum(1 for other in self.instances if other.data_center == it.data_center)
-        lines = [f'name = "{it.name}"', f'data_center = "{it.data_center}"', f'peer_listen = "{it.peer}"',
-                 f'caller_listen = "{it.caller}"', f'upstream_listen = "{it.upstream}"',
-                 f'operator_listen = "{it.operator}"', f'operator_token = "{TOKEN}"',
+    def _settings(self, instance):
+        size = sum(1 for other in self.instances if other.data_center == instance.data_center)
+        lines = [f'name = "{instance.name}"', f'data_center = "{instance.data_center}"',
+                 f'peer_listen = "{instance.peer}"', f'caller_listen = "{instance.caller}"',
+                 f'upstream_listen = "{instance.upstream}"', f'operator_listen = "{instance.operator}"',
+                 f'operator_token = "{TOKEN}"',
                  f"data_center_size = {size}", f'routing = "{self.routing}"']
         voters = [other.name for other in self.instances if other.durable]
         lines.append("global_voters = [" + ", ".join(f'"{name}"' for name in voters) + "]")
-        if it.durable:
-            lines.append(f'data_folder = "{self.run_folder}/{it.name}-data"')
+        if instance.durable:
+            lines.append(f'data_folder = "{self.run_folder}/{instance.name}-data"')
         for other in self.instances:
             if other.durable:
                 lines += ["[[seeds]]", f'name = "{other.name}"', f'data_center = "{other.data_center}"',
@@ -97,21 +102,21 @@
         with open(os.path.join(self.run_folder, name + ".log"), "ab") as log:
             return subprocess.Popen([self.binary, *arguments], stdout=log, stderr=log, stdin=subprocess.DEVNULL)
 
-    def start_instance(self, it):
-        path = os.path.join(self.run_folder, it.name + ".toml")
+    def start_instance(self, instance):
+        path = os.path.join(self.run_folder, instance.name + ".toml")
         with open(path, "w", encoding="utf-8") as file:
-            file.write(self._settings(it))
-        it.process = self._spawn(it.name, ["serve", "--config", path])
+            file.write(self._settings(instance))
+        instance.process = self._spawn(instance.name, ["serve", "--config", path])
 
     def start_instances(self):
-        for it in self.instances:
-            self.start_instance(it)
+        for instance in self.instances:
+            self.start_instance(instance)
 
     def start_upstream(self, name, service, slots, connections, data_center, port, seed):
-        hosts = [it for it in self.instances if it.data_center == data_center]
-        ip = hosts[0].ip
+        instances = [it for it in self.instances if it.data_center == data_center]
+        ip = instances[0].ip
         arguments = ["stand-in", "--name", name, "--service", service, "--listen", f"{ip}:{port}",
-                     "--instance", ",".join(it.upstream for it in hosts), "--slots", str(slots),
+                     "--instance", ",".join(it.upstream for it in instances), "--slots", str(slots),
                      "--connections", str(connections), "--service-time", str(self.service_time_ms),
                      "--seed", str(seed), "--record", os.path.join(self.records, name + ".log"), *self.stand_in_options]
         self.upstreams[name] = self._spawn(name, arguments)
@@ -128,52 +133,52 @@
     def send_operator_request(self, address, path, body=None, timeout=3):
         request = urllib.request.Request(f"http://{address}{path}", data=body,
                                          headers={"Authorization": "Bearer " + TOKEN})
-        with urllib.request.urlopen(request, timeout=timeout) as answer:
-            return answer.read().decode()
+        with urllib.request.urlopen(request, timeout=timeout) as response:
+            return response.read().decode()
 
     def submit_profile(self, path, timeout=20):
         """Submits the profile to the instances in turn, repeating the same change until the global group accepts it."""
         name = os.path.splitext(os.path.basename(path))[0]
         with open(path, "rb") as file:
             content = file.read()
-        end = time.monotonic() + timeout
+        deadline = time.monotonic() + timeout
         while True:
-            for it in self.instances:
+            for instance in self.instances:
                 try:
                     return self.send_operator_request(
-                        it.operator, f"/v1/profiles/{name}?base_version=0&change_id=first", content)
+                        instance.operator, f"/v1/profiles/{name}?base_version=0&change_id=first", content)
                 except (urllib.error.URLError, OSError):
-                    if time.monotonic() > end:
+                    if time.monotonic() > deadline:
                         raise
             time.sleep(0.2)
 
-    def status(self, it):
-        return json.loads(self.send_operator_request(it.operator, "/v1/status"))
+    def status(self, instance):
+        return json.loads(self.send_operator_request(instance.operator, "/v1/status"))
 
-    def all_shards_owned(self, it):
+    def all_shards_owned(self, instance):
         """True if the instance is ready and reports an owner for every shard of every service."""
         try:
-            status = self.status(it)
+            status = self.status(instance)
         except (urllib.error.URLError, OSError):
             return False
         tables = status["data_centers"]
         wanted = {service for service, *_ in self.services}
-        seen = {up["service"] for table in tables for up in table["upstreams"] if up["shards"] > 0}
-        return status["ready"] and wanted <= seen and all(t["shards_without_owner"] == 0 for t in tables)
+        owned = {it["service"] for table in tables for it in table["upstreams"] if it["shards"] > 0}
+        return status["ready"] and wanted <= owned and all(it["shards_without_owner"] == 0 for it in tables)
 
     def wait_until_shards_owned(self, timeout=30):
-        end = time.monotonic() + timeout
+        deadline = time.monotonic() + timeout
         pending = [it for it in self.instances if it.process is not None]
         while pending:
             pending = [it for it in pending if not self.all_shards_owned(it)]
-            if pending and time.monotonic() > end:
+            if pending and time.monotonic() > deadline:
                 raise TimeoutError("not ready: " + ", ".join(it.name for it in pending))
             time.sleep(0.1)
 
-    def kill_instance(self, it):
-        it.process.kill()
-        it.process.wait()
-        it.process = None
+    def kill_instance(self, instance):
+        instance.process.kill()
+        instance.process.wait()
+        instance.process = None
 
     def kill_upstream(self, name):
         self.upstreams[name].kill()
@@ -182,24 +187,24 @@
 
     def stop(self):
         """Stops every process that this object started; returns the names of those that had to be killed."""
-        running = {it.name: it.process for it in self.instances if it.process is not None}
-        late = self._terminate(self.upstreams) + self._terminate(running)
-        for it in self.instances:
-            it.process = None
+        instances = {it.name: it.process for it in self.instances if it.process is not None}
+        killed = self._terminate(self.upstreams) + self._terminate(instances)
+        for instance in self.instances:
+            instance.process = None
         self.upstreams = {}
-        return late
+        return killed
 
     @staticmethod
     def _terminate(processes):
-        for it in processes.values():
-            it.send_signal(signal.SIGTERM)
-        late = []
-        end = time.monotonic() + 15
-        for name, it in processes.items():
+        for process in processes.values():
+            process.send_signal(signal.SIGTERM)
+        killed = []
+        deadline = time.monotonic() + 15
+        for name, process in processes.items():
             try:
-                it.wait(max(0.1, end - time.monotonic()))
+                process.wait(max(0.1, deadline - time.monotonic()))
             except subprocess.TimeoutExpired:
-                late.append(name)
-                it.kill()
-                it.wait()
-        return late
+                killed.append(name)
+                process.kill()
+                process.wait()
+        return killed
