--- a/tools/demo.py
+++ b/tools/demo.py
@@ -21,15 +21,15 @@
     return parser.parse_args()
 
 
-def print_owners(cluster):
+def print_active_upstreams(cluster):
     status = cluster.status(cluster.instances[0])
     for table in status["data_centers"]:
-        live = [up for up in table["upstreams"] if up["condition"] == "active"]
-        gates = {up["gate"] for up in live}
-        print(f"  {table['data_center']}: {len(live)} upstreams active behind {len(gates)} gates")
+        active = [it for it in table["upstreams"] if it["condition"] == "active"]
+        gates = {it["gate"] for it in active}
+        print(f"  {table['data_center']}: {len(active)} upstreams active behind {len(gates)} gates")
 
 
-def run_load(cluster, options):
+def start_load(cluster, options):
     arguments = [cluster.binary, "load", "--firm", options.firm,
                  "--address", ",".join(it.caller for it in cluster.instances), "--rate", str(options.rate),
                  "--duration", str(options.seconds), "--resend", "0.05", "--judge", cluster.records]
@@ -42,9 +42,9 @@
     cluster.start_upstreams()
     cluster.wait_until_shards_owned()
     print(f"3 data centres, {len(cluster.instances)} instances, {len(cluster.upstreams)} upstreams:")
-    print_owners(cluster)
+    print_active_upstreams(cluster)
     print(f"{options.rate} requests/s for {options.seconds} s", flush=True)
-    load = run_load(cluster, options)
+    load = start_load(cluster, options)
     time.sleep(options.seconds * 0.35)
     victim = cluster.instances[1]
     print(f"killing instance {victim.name}", flush=True)
@@ -53,9 +53,9 @@
     upstream = cluster.services[0][0] + "-5"
     print(f"killing upstream {upstream}", flush=True)
     cluster.kill_upstream(upstream)
-    code = load.wait(timeout=options.seconds + 60)
-    print_owners(cluster)
-    return code
+    exit_code = load.wait(timeout=options.seconds + 60)
+    print_active_upstreams(cluster)
+    return exit_code
 
 
 def main():
@@ -66,14 +66,14 @@
         cluster = local_cluster.Cluster(run_folder, binary, options.firm, base_port=options.base_port,
                                         upstream_port=options.base_port + 10000)
         try:
-            code = run(cluster, options)
+            exit_code = run(cluster, options)
         finally:
-            late = cluster.stop()
-    if late:
-        print("did not stop by themselves:", ", ".join(late))
-        code = code or 1
-    print("demo: passed" if code == 0 else "demo: failed")
-    return code
+            killed = cluster.stop()
+    if killed:
+        print("killed, since they did not stop within 15 s:", ", ".join(killed))
+        exit_code = exit_code or 1
+    print("demo: passed" if exit_code == 0 else "demo: failed")
+    return exit_code
 
 
 if __name__ == "__main__":
