--- a/tools/measure_common.py
+++ b/tools/measure_common.py
@@ -10,21 +10,22 @@
 import local_cluster
 
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
-# Second byte of the loopback addresses of the first cluster. The demonstration uses 0, so that both can run on one
-# machine.
-NETWORK = 64
+# Lowest second byte of the clusters' loopback addresses. The demonstration uses 0, so that both can run on one machine.
+FIRST_NETWORK = 64
 BINARY = os.path.join(local_cluster.ROOT, "build", "kingcupseam")
 
 
 def processor_seconds(pid):
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
+    # User and system time.
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def machine_busy_seconds():
     with open("/proc/stat", encoding="ascii") as file:
         fields = [int(it) for it in file.readline().split()[1:]]
+    # All but idle time, waiting for disks, and guest time, which user time includes.
     return (sum(fields[:8]) - fields[3] - fields[4]) / TICKS_PER_SECOND
 
 
@@ -53,10 +54,12 @@
 
 
 @contextlib.contextmanager
-def started_cluster(network=0, **settings):
-    """Starts a cluster, waits until every shard has an owner, and stops the cluster on exit from the context."""
+def started_cluster(network_offset=0, **settings):
+    """Starts a cluster, waits until every shard has an owner, and stops the cluster on exit from the context. Each
+    measurement has its own network offsets, so that their clusters have different addresses."""
     with tempfile.TemporaryDirectory(prefix="kingcupseam-") as folder:
-        cluster = local_cluster.Cluster(os.path.join(folder, "run"), BINARY, network=NETWORK + network, **settings)
+        cluster = local_cluster.Cluster(os.path.join(folder, "run"), BINARY, network=FIRST_NETWORK + network_offset,
+                                        **settings)
         try:
             cluster.start_instances()
             cluster.submit_profile(os.path.join(local_cluster.ROOT, "profiles", cluster.firm + ".toml"))
@@ -74,9 +77,9 @@
                             stdin=subprocess.DEVNULL, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True)
 
 
-def finish_load(process, limit):
+def finish_load(process, timeout):
     """Returns the report of the load generator. Ignores its exit code: the report lists the violations too."""
-    out, _ = process.communicate(timeout=limit)
+    out, _ = process.communicate(timeout=timeout)
     return json.loads(out)
 
 
--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -104,7 +104,8 @@
         upstreams = options.upstreams_per_instance * instances
         second = max(3, upstreams // 6)
         services = (("registry", upstreams - second, 2, 120), ("repack", second, 2, 120))
-        with common.started_cluster(network=3, firm="navalsig", per_data_center=size, services=services) as cluster:
+        with common.started_cluster(network_offset=3, firm="navalsig", per_data_center=size,
+                                    services=services) as cluster:
             time.sleep(3)
             role_of = instance_roles(cluster)
             for state in ("idle", "loaded"):
--- a/tools/measure_instance.py
+++ b/tools/measure_instance.py
@@ -15,7 +15,7 @@
     sizes = tuple(int(it) for it in options.instances.split(","))
     services = (("registry", options.upstreams, 16, 120), ("repack", 1, 2, 120))
     rows = []
-    with common.started_cluster(network=4, firm="navalsig", per_data_center=sizes, services=services,
+    with common.started_cluster(network_offset=4, firm="navalsig", per_data_center=sizes, services=services,
                                 service_time_ms=0.5) as cluster:
         for text in options.rates.split(","):
             processes = common.instance_processes(cluster)
--- a/tools/measure_outage.py
+++ b/tools/measure_outage.py
@@ -177,7 +177,7 @@
     for kind in options.kinds.split(","):
         for n in range(options.repetitions):
             load = common.load_average()
-            with common.started_cluster(network=2, firm="navalsig", service_time_ms=SERVICE_TIME_MS) as cluster:
+            with common.started_cluster(network_offset=2, firm="navalsig", service_time_ms=SERVICE_TIME_MS) as cluster:
                 victims, keys, result, seen = asyncio.run(run_repetition(cluster, kind, options, rng))
             missed = any(it is None or it > options.bound_ms for it in result.values())
             missed_bounds.append(missed)
--- a/tools/measure_routing.py
+++ b/tools/measure_routing.py
@@ -62,7 +62,7 @@
         for name in options.loads.split(","):
             rates = rates_by_load(firm)[name]
             load_before = common.load_average()
-            with common.started_cluster(network=network, firm=firm, routing=routing,
+            with common.started_cluster(network_offset=network, firm=firm, routing=routing,
                                         service_time_ms=SERVICE_TIME_MS[firm]) as cluster:
                 report, use = measure_load(cluster, rates, seed, options)
             row = [firm, routing, name, seed]
@@ -97,7 +97,7 @@
     medians = {"gate": [], "direct": []}
     settings = {"firm": "navalsig", "service_time_ms": 1}
     with common.started_cluster(routing="gate", **settings) as gate, \
-            common.started_cluster(network=1, routing="direct", **settings) as direct:
+            common.started_cluster(network_offset=1, routing="direct", **settings) as direct:
         for n in range(options.hop_repetitions):
             for routing, cluster in (("gate", gate), ("direct", direct)):
                 load = common.start_load(cluster, "--rank-rate", "urgent:150", "--rank-rate", "standard:0",
