--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -1,5 +1,5 @@
 """Measures the control traffic, the processor time of the control thread and the memory of each instance, idle and
-under load, for several numbers of instances, and fits a line over that number."""
+under load, for several numbers of instances, and fits each quantity as a linear function of that number."""
 
 import re
 import time
@@ -9,8 +9,8 @@
 # Instances in each of the three data centres.
 SIZES = ((1, 1, 1), (3, 2, 2), (4, 3, 3), (6, 5, 5), (10, 10, 10))
 METRIC = re.compile(r"^(kingcupseam_\w+)(?:\{(.*)\})? ([0-9.e+-]+)$", re.M)
-LIMIT_BYTES = 2000
-LIMIT_CORE = 0.038
+MAX_CONTROL_BYTES_PER_S = 2000
+MAX_CONTROL_CORES = 0.038
 
 
 def add_options(parser):
@@ -20,35 +20,37 @@
     parser.add_argument("--rate-per-instance", type=int, default=30, help="requests/s under load")
 
 
-def read_metrics(cluster, it):
+def read_metrics(cluster, instance):
+    """Returns the value of each metric by name and labels."""
     result = {}
-    for name, tags, value in METRIC.findall(cluster.send_operator_request(it.operator, "/metrics")):
-        result[name, tags] = float(value)
+    for name, labels, value in METRIC.findall(cluster.send_operator_request(instance.operator, "/metrics")):
+        result[name, labels] = float(value)
     return result
 
 
-def sum_metric(values, name, *tags):
-    return sum(value for (key, key_tags), value in values.items()
-               if key == name and all(it in key_tags for it in tags))
+def sum_metric(values, name, *wanted):
+    """Returns the sum over all label sets that contain each of the wanted labels."""
+    return sum(value for (key, labels), value in values.items()
+               if key == name and all(it in labels for it in wanted))
 
 
 def instance_roles(cluster):
     """Returns the role of each instance in its data centre's group: leader, durable voter, voter or other."""
     result = {}
-    for it in cluster.instances:
-        group = cluster.status(it).get("data_center_group") or {"leads": False, "voters": []}
+    for instance in cluster.instances:
+        group = cluster.status(instance).get("data_center_group") or {"leads": False, "voters": []}
         if group["leads"]:
-            result[it.name] = "leader, durable" if it.durable else "leader"
-        elif it.durable:
-            result[it.name] = "durable voter"
+            result[instance.name] = "leader, durable" if instance.durable else "leader"
+        elif instance.durable:
+            result[instance.name] = "durable voter"
         else:
-            result[it.name] = "voter" if it.name in group["voters"] else "other"
+            result[instance.name] = "voter" if instance.name in group["voters"] else "other"
     return result
 
 
 def measure_instances(cluster, seconds):
     """Returns per instance: bytes/s sent and received, heartbeats included; frames/s without heartbeats; cores in use;
-    resident bytes."""
+    resident bytes; bytes/s received by frame type."""
     before = {it.name: read_metrics(cluster, it) for it in cluster.instances}
     cpu_before = {it.name: common.processor_seconds(it.process.pid) for it in cluster.instances}
     started = time.monotonic()
@@ -56,8 +58,9 @@
     elapsed = time.monotonic() - started
     result = {}
     for it in cluster.instances:
-        a, b = before[it.name], read_metrics(cluster, it)
-        rate = lambda name, *tags, a=a, b=b: (sum_metric(b, name, *tags) - sum_metric(a, name, *tags)) / elapsed
+        first, last = before[it.name], read_metrics(cluster, it)
+        rate = lambda name, *labels, first=first, last=last: (
+            sum_metric(last, name, *labels) - sum_metric(first, name, *labels)) / elapsed
         frames = rate("kingcupseam_control_frames_received_total")
         frame_bytes = rate("kingcupseam_control_frame_bytes_received_total")
         received = rate("kingcupseam_control_bytes", 'direction="received"')
@@ -70,8 +73,9 @@
             "datagrams": rate("kingcupseam_control_datagrams_received_total"),
             "control_core": rate("kingcupseam_control_processor_microseconds") / 1e6,
             "process_core": (common.processor_seconds(it.process.pid) - cpu_before[it.name]) / elapsed,
-            "resident": sum_metric(b, "kingcupseam_resident_bytes"),
-            "types": {tags: (value - a.get((name, tags), 0)) / elapsed for (name, tags), value in b.items()
+            "resident": sum_metric(last, "kingcupseam_resident_bytes"),
+            "types": {labels: (value - first.get((name, labels), 0)) / elapsed
+                      for (name, labels), value in last.items()
                       if name == "kingcupseam_control_frame_bytes_received_total"},
         }
     return result
@@ -90,10 +94,10 @@
 def fit_line(points):
     """Fits a line by least squares; returns (value at 0, increase per unit)."""
     n = len(points)
-    mx = sum(x for x, _ in points) / n
-    my = sum(y for _, y in points) / n
-    slope = sum((x - mx) * (y - my) for x, y in points) / sum((x - mx) ** 2 for x, _ in points)
-    return my - slope * mx, slope
+    mean_x = sum(x for x, _ in points) / n
+    mean_y = sum(y for _, y in points) / n
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / sum((x - mean_x) ** 2 for x, _ in points)
+    return mean_y - slope * mean_x, slope
 
 
 def run(options):
@@ -102,8 +106,8 @@
         size = tuple(int(it) for it in text.split(","))
         instances = sum(size)
         upstreams = options.upstreams_per_instance * instances
-        second = max(3, upstreams // 6)
-        services = (("registry", upstreams - second, 2, 120), ("repack", second, 2, 120))
+        repack_upstreams = max(3, upstreams // 6)
+        services = (("registry", upstreams - repack_upstreams, 2, 120), ("repack", repack_upstreams, 2, 120))
         with common.started_cluster(network_offset=3, firm="navalsig", per_data_center=size,
                                     services=services) as cluster:
             time.sleep(3)
@@ -118,12 +122,12 @@
                 if load:
                     common.finish_load(load, 60)
                 rows += format_rows(instances, upstreams, state, role_of, measured)
-                merged = {}
+                by_type = {}
                 for it in measured.values():
-                    for tags, value in it["types"].items():
-                        merged[tags] = merged.get(tags, 0) + value / instances
-                by_type = ", ".join(f"{key} {value:.0f}" for key, value in sorted(merged.items()))
-                types.append([instances, state, by_type])
+                    for labels, value in it["types"].items():
+                        by_type[labels] = by_type.get(labels, 0) + value / instances
+                type_list = ", ".join(f"{labels} {value:.0f}" for labels, value in sorted(by_type.items()))
+                types.append([instances, state, type_list])
                 for role in ("leader", "other than leader"):
                     members = [measured[name] for name, it in role_of.items()
                                if it.startswith("leader") == (role == "leader")]
@@ -140,6 +144,9 @@
         base, slope = fit_line(values)
         fits.append([state, role, key, f"{base:.4g}", f"{slope:.4g}"])
     common.print_table(["state", "role", "quantity", "at 0 instances", "per instance of the system"], fits)
-    over = [row for row in rows if int(row[5]) + int(row[6]) > LIMIT_BYTES or float(row[11][:-1]) > 100 * LIMIT_CORE]
-    print(f"{len(over)} of {len(rows)} rows exceed {LIMIT_BYTES} B/s sent and received or {LIMIT_CORE:.1%} of a core")
+    # Columns 5, 6 and 11: bytes/s sent and received, and use of the control thread in percent.
+    over = [row for row in rows if int(row[5]) + int(row[6]) > MAX_CONTROL_BYTES_PER_S
+            or float(row[11][:-1]) > 100 * MAX_CONTROL_CORES]
+    print(f"{len(over)} of {len(rows)} rows exceed {MAX_CONTROL_BYTES_PER_S} B/s sent and received or "
+          f"{MAX_CONTROL_CORES:.1%} of a core")
     return 0
