--- a/tools/measure_outage.py
+++ b/tools/measure_outage.py
@@ -12,13 +12,15 @@
 import local_cluster
 import measure_common as common
 
-SPACING_S = 0.02
-KEYS_PER_PROBE = 4
+PROBE_INTERVAL_S = 0.02
+KEYS_PER_REPETITION = 4
 # Low enough that all probes together use a fifth of the 2 slots of one upstream: waiting for a slot would be measured
 # as outage.
 SERVICE_TIME_MS = 1
-PATHS = {"lookup": ("GET", "/registry/rafts/{}/history"), "booking": ("POST", "/registry/rafts/{}/bookings")}
-KINDS = ("upstream", "gate", "leader", "gate and leader")
+# Method and path of each kind of request.
+REQUESTS = {"lookup": ("GET", "/registry/rafts/{}/history"), "booking": ("POST", "/registry/rafts/{}/bookings")}
+# What a repetition kills.
+LOSS_KINDS = ("upstream", "gate", "leader", "gate and leader")
 
 
 def add_options(parser):
@@ -26,13 +28,13 @@
     parser.add_argument("--bound-ms", type=float, default=1000)
     parser.add_argument("--after", type=float, default=3, help="seconds of probing after the kill")
     parser.add_argument("--seed", type=int, default=1, help="seed of the random choice of victims")
-    parser.add_argument("--kinds", default=",".join(KINDS),
+    parser.add_argument("--kinds", default=",".join(LOSS_KINDS),
                         help="comma-separated; 'nothing' kills no process and shows the effect of the machine alone")
 
 
-async def send_request(address, kind, key):
+async def send_request(address, request_kind, key):
     """Sends one request on its own connection; returns (served, outcome or reason, upstream)."""
-    method, path = PATHS[kind]
+    method, path = REQUESTS[request_kind]
     ip, port = address.split(":")
     head = [f"{method} {path.format(key)} HTTP/1.1", f"Host: {address}", "Connection: close",
             f"Idempotency-Key: {uuid.uuid4()}"]
@@ -60,51 +62,51 @@
     its deadline."""
     result = {}
     for n in range(0, len(keys), 10):
-        part = keys[n:n + 10]
-        found = await asyncio.gather(*[send_request(address, "lookup", it) for it in part])
-        result.update({key: it[2] for key, it in zip(part, found) if it[0]})
+        batch = keys[n:n + 10]
+        found = await asyncio.gather(*[send_request(address, "lookup", it) for it in batch])
+        result.update({key: upstream for key, (served, _, upstream) in zip(batch, found) if served})
     return result
 
 
 class Probes:
-    """Sends to each key every 20 ms and records (sent, completed, served, outcome or reason); times are seconds of the
-    monotonic clock."""
+    """Sends a lookup and a booking to each key every 20 ms and records (sent, completed, served, outcome or reason) of
+    each; times are seconds of the monotonic clock."""
 
     def __init__(self, addresses, keys):
         self.addresses = addresses
-        self.seen = {(kind, key): [] for kind in PATHS for key in keys}
+        self.records = {(request_kind, key): [] for request_kind in REQUESTS for key in keys}
         self.tasks = set()
 
-    async def probe(self, kind, key, address):
+    async def probe(self, request_kind, key, address):
         sent = time.monotonic()
-        served, seen, _ = await send_request(address, kind, key)
-        self.seen[kind, key].append((sent, time.monotonic(), served, seen))
+        served, reason, _ = await send_request(address, request_kind, key)
+        self.records[request_kind, key].append((sent, time.monotonic(), served, reason))
 
     async def send_until(self, end):
         next_at = time.monotonic()
         n = 0
         while next_at < end:
-            for kind, key in self.seen:
-                task = asyncio.create_task(self.probe(kind, key, self.addresses[n % len(self.addresses)]))
+            for request_kind, key in self.records:
+                task = asyncio.create_task(self.probe(request_kind, key, self.addresses[n % len(self.addresses)]))
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
                 n += 1
-            next_at += SPACING_S
+            next_at += PROBE_INTERVAL_S
             await asyncio.sleep(max(0, next_at - time.monotonic()))
         await asyncio.gather(*self.tasks)
 
 
-def recovery_ms(probes, lost_at):
-    """Milliseconds from the kill to the answer to the first served probe that was sent after the last failed one. If no
-    probe failed: the longest wait for an answer, counted from the kill at the earliest, among the probes sent until
-    1 s after the kill. None if the key was not served again."""
-    after = [it for it in probes if it[1] > lost_at]
-    failed = [it[0] for it in after if not it[2]]
+def recovery_ms(records, killed_at):
+    """Returns the time from the kill to the answer to the first served probe that was sent after the last failed one;
+    None if there is no such probe. If no probe failed: the longest time for which a probe waited for its answer after
+    the kill, among the probes sent until 1 s after the kill."""
+    after = [it for it in records if it[1] > killed_at]
+    failed = [sent for sent, _, served, _ in after if not served]
     if not failed:
-        waited = [it[1] - max(it[0], lost_at) for it in after if it[0] < lost_at + 1]
+        waited = [completed - max(sent, killed_at) for sent, completed, _, _ in after if sent < killed_at + 1]
         return max(waited) * 1000
-    served = [it[1] for it in after if it[2] and it[0] > max(failed)]
-    return (min(served) - lost_at) * 1000 if served else None
+    completed = [completed for sent, completed, served, _ in after if served and sent > max(failed)]
+    return (min(completed) - killed_at) * 1000 if completed else None
 
 
 def status_of(cluster, name="a1"):
@@ -121,70 +123,71 @@
     raise RuntimeError("no leader in " + data_center)
 
 
-def choose_victims(cluster, kind, owners, rng):
+def choose_victims(cluster, loss_kind, owners, rng):
     """Returns the names of the instances to kill, of the upstream to kill, and of the upstreams to probe."""
     leader, voters = find_leader(cluster, "north")
     table = next(it for it in status_of(cluster)["data_centers"] if it["data_center"] == "north")
     owning = set(owners.values())
     gate_of = {it["name"]: it["gate"] for it in table["upstreams"] if it["name"] in owning}
-    if kind == "nothing":
+    if loss_kind == "nothing":
         return [], None, set(gate_of)
-    if kind == "upstream":
-        lost = rng.choice(sorted(gate_of))
-        return [], lost, {lost}
-    if kind == "leader":
-        return [leader], None, {up for up, gate in gate_of.items() if gate == leader} or set(gate_of)
+    if loss_kind == "upstream":
+        upstream = rng.choice(sorted(gate_of))
+        return [], upstream, {upstream}
+    if loss_kind == "leader":
+        return [leader], None, {upstream for upstream, gate in gate_of.items() if gate == leader} or set(gate_of)
     others = sorted({gate for gate in gate_of.values() if gate != leader})
     # A data centre's group of three voters does not tolerate the loss of two at once.
-    spare = [it for it in others if it not in voters]
-    gate = rng.choice(spare if kind == "gate and leader" and spare else others)
-    lost = [gate] if kind == "gate" else [gate, leader]
-    return lost, None, {up for up, its_gate in gate_of.items() if its_gate in lost}
+    not_voting = [it for it in others if it not in voters]
+    gate = rng.choice(not_voting if loss_kind == "gate and leader" and not_voting else others)
+    killed = [gate] if loss_kind == "gate" else [gate, leader]
+    return killed, None, {upstream for upstream, its_gate in gate_of.items() if its_gate in killed}
 
 
-async def run_repetition(cluster, kind, options, rng):
+async def run_repetition(cluster, loss_kind, options, rng):
     entry = next(it for it in cluster.instances if it.data_center == "east")
     owners = await find_owners(entry.caller, [f"key-{n}" for n in range(240)])
-    lost_instances, lost_upstream, probed = choose_victims(cluster, kind, owners, rng)
-    keys = [key for key, up in owners.items() if up in probed]
-    keys = rng.sample(keys, min(KEYS_PER_PROBE, len(keys)))
-    addresses = [it.caller for it in cluster.instances if it.name not in lost_instances]
+    killed_instances, killed_upstream, probed = choose_victims(cluster, loss_kind, owners, rng)
+    keys = [key for key, upstream in owners.items() if upstream in probed]
+    keys = rng.sample(keys, min(KEYS_PER_REPETITION, len(keys)))
+    addresses = [it.caller for it in cluster.instances if it.name not in killed_instances]
     probes = Probes(addresses, keys)
     sending = asyncio.create_task(probes.send_until(time.monotonic() + 0.5 + options.after))
     await asyncio.sleep(0.5)
-    lost_at = time.monotonic()
-    for it in cluster.instances:
-        if it.name in lost_instances:
-            cluster.kill_instance(it)
-    if lost_upstream:
-        cluster.kill_upstream(lost_upstream)
+    killed_at = time.monotonic()
+    for instance in cluster.instances:
+        if instance.name in killed_instances:
+            cluster.kill_instance(instance)
+    if killed_upstream:
+        cluster.kill_upstream(killed_upstream)
     await sending
     result = {}
-    seen = {}
-    for request_kind in PATHS:
-        times = [recovery_ms(it, lost_at) for (work, _), it in probes.seen.items() if work == request_kind]
+    failures = {}
+    for request_kind in REQUESTS:
+        times = [recovery_ms(records, killed_at) for (kind, _), records in probes.records.items()
+                 if kind == request_kind]
         result[request_kind] = None if None in times or not times else max(times)
-        for (work, _), it in probes.seen.items():
-            for _, completed, served, what in it:
-                if work == request_kind and not served and completed > lost_at:
-                    seen[f"{work} {what}"] = seen.get(f"{work} {what}", 0) + 1
-    victims = lost_instances + ([lost_upstream] if lost_upstream else [])
-    return victims, len(keys), result, seen
+        for (kind, _), records in probes.records.items():
+            for _, completed, served, reason in records:
+                if kind == request_kind and not served and completed > killed_at:
+                    failures[f"{kind} {reason}"] = failures.get(f"{kind} {reason}", 0) + 1
+    victims = killed_instances + ([killed_upstream] if killed_upstream else [])
+    return victims, len(keys), result, failures
 
 
 def measure_rows(options, missed_bounds):
     rng = random.Random(options.seed)
-    for kind in options.kinds.split(","):
+    for loss_kind in options.kinds.split(","):
         for n in range(options.repetitions):
             load = common.load_average()
             with common.started_cluster(network_offset=2, firm="navalsig", service_time_ms=SERVICE_TIME_MS) as cluster:
-                victims, keys, result, seen = asyncio.run(run_repetition(cluster, kind, options, rng))
+                victims, keys, result, failures = asyncio.run(run_repetition(cluster, loss_kind, options, rng))
             missed = any(it is None or it > options.bound_ms for it in result.values())
             missed_bounds.append(missed)
             unserved = "not served again" if keys else "no key was served before the loss"
             times = [f"{it:.0f}" if it is not None else unserved for it in result.values()]
-            yield [kind, n + 1, " + ".join(victims), keys, *times, "missed" if missed else "met",
-                   ", ".join(f"{key} {count}" for key, count in sorted(seen.items())) or "none",
+            yield [loss_kind, n + 1, " + ".join(victims), keys, *times, "missed" if missed else "met",
+                   ", ".join(f"{failure} {count}" for failure, count in sorted(failures.items())) or "none",
                    f"{load:.0f}"]
 
 
