--- a/tools/measure_routing.py
+++ b/tools/measure_routing.py
@@ -27,6 +27,7 @@
 
 
 def capacities(firm):
+    """Returns the requests/s that the upstreams of each service can run."""
     return [count * slots * 1000 / SERVICE_TIME_MS[firm]
             for _, count, slots, _ in local_cluster.FIRMS[firm]["services"]]
 
@@ -57,29 +58,28 @@
 
 
 def load_rows(firm, routing, options):
-    network = 5 + list(local_cluster.FIRMS).index(firm)
+    network_offset = 5 + list(local_cluster.FIRMS).index(firm)
     for seed in range(1, options.seeds + 1):
-        for name in options.loads.split(","):
-            rates = rates_by_load(firm)[name]
+        for load_name in options.loads.split(","):
+            rates = rates_by_load(firm)[load_name]
             load_before = common.load_average()
-            with common.started_cluster(network_offset=network, firm=firm, routing=routing,
+            with common.started_cluster(network_offset=network_offset, firm=firm, routing=routing,
                                         service_time_ms=SERVICE_TIME_MS[firm]) as cluster:
                 report, use = measure_load(cluster, rates, seed, options)
-            row = [firm, routing, name, seed]
+            row = [firm, routing, load_name, seed]
             for rank in RANKS:
-                it = report["ranks"][rank]
-                row.append(f"{100 * it['service']:.1f}%")
+                row.append(f"{100 * report['ranks'][rank]['service']:.1f}%")
             for rank in RANKS:
                 latency = report["ranks"][rank]["latency_ms"]
                 row.append(f"{latency['p50']:.0f} / {latency['p99']:.0f}")
             reasons = {}
             for rank in RANKS:
-                it = report["ranks"][rank]
-                for reason, n in (it["not_run"] or {}).items():
+                counts = report["ranks"][rank]
+                for reason, n in (counts["not_run"] or {}).items():
                     reasons[f"{rank} {reason}"] = n
-                for what in ("unknown", "lost", "errors"):
-                    if it[what]:
-                        reasons[f"{rank} {what}"] = it[what]
+                for outcome in ("unknown", "lost", "errors"):
+                    if counts[outcome]:
+                        reasons[f"{rank} {outcome}"] = counts[outcome]
             row.append(", ".join(f"{key} {n}" for key, n in sorted(reasons.items())) or "none")
             row.append(f"{sum(use.cores.values()):.2f} / {max(use.cores.values()):.2f} / {use.machine:.1f}")
             row.append(f"{load_before:.0f}")
@@ -92,8 +92,8 @@
 
 
 def hop_rows(options):
-    """Alternates runs between a gate cluster and a direct cluster that exist at the same time, so that a disturbance of
-    the machine affects both."""
+    """Alternates runs between two clusters that exist at the same time, one with gates and one with direct dispatch, so
+    that other load on the machine affects both."""
     medians = {"gate": [], "direct": []}
     settings = {"firm": "navalsig", "service_time_ms": 1}
     with common.started_cluster(routing="gate", **settings) as gate, \
@@ -104,10 +104,9 @@
                                          "--rank-rate", "deferrable:0", "--duration", 6, "--warmup", 1,
                                          "--seed", n + 1)
                 report = common.finish_load(load, 60)
-                it = report["ranks"]["urgent"]
-                medians[routing].append(it["latency_ms"]["p50"] * 1000)
-    added = [a - b for a, b in zip(medians["gate"], medians["direct"])]
-    for name, values in (("gate", medians["gate"]), ("direct", medians["direct"]), ("difference", added)):
+                medians[routing].append(report["ranks"]["urgent"]["latency_ms"]["p50"] * 1000)
+    differences = [a - b for a, b in zip(medians["gate"], medians["direct"])]
+    for name, values in (("gate", medians["gate"]), ("direct", medians["direct"]), ("difference", differences)):
         yield [name, ", ".join(f"{it:.0f}" for it in values), format_interval(values), f"{common.load_average():.0f}"]
 
 
@@ -116,8 +115,8 @@
     columns += [f"{rank} p50 / p99 ms" for rank in RANKS]
     columns += ["refused or failed", "cores: instances / busiest / machine", "load average"]
     if options.only != "hop":
-        variants = [(firm, it) for firm in options.firms.split(",") for it in options.routings.split(",")]
-        common.print_table(columns, (row for firm, it in variants for row in load_rows(firm, it, options)))
+        variants = [(firm, routing) for firm in options.firms.split(",") for routing in options.routings.split(",")]
+        common.print_table(columns, (row for firm, routing in variants for row in load_rows(firm, routing, options)))
     if options.only != "load":
         common.print_table(["routing", "median urgent latency of each run, µs", "mean and 95% interval, µs",
                             "load average"], list(hop_rows(options)))
