--- a/tools/demo.py
+++ b/tools/demo.py
@@ -32,7 +32,7 @@
 def start_load(cluster, options):
     arguments = [cluster.binary, "load", "--firm", options.firm,
                  "--address", ",".join(it.caller for it in cluster.instances), "--rate", str(options.rate),
-                 "--duration", str(options.seconds), "--resend", "0.05", "--judge", cluster.records]
+                 "--duration", str(options.seconds), "--resend", "0.05", "--judge", cluster.records_folder]
     return subprocess.Popen(arguments, stdin=subprocess.DEVNULL)
 
 
--- a/tools/local_cluster.py
+++ b/tools/local_cluster.py
@@ -69,7 +69,7 @@
         self.service_time_ms = service_time_ms
         self.services = services or FIRMS[firm]["services"]
         self.stand_in_options = list(stand_in_options)
-        self.records = os.path.join(run_folder, "records")
+        self.records_folder = os.path.join(run_folder, "records")
         self.upstreams = {}
         self.instances = []
         for n, count in enumerate(per_data_center):
@@ -79,7 +79,7 @@
                 self.instances.append(Instance(name, "north east south".split()[n], f"127.{network}.{n + 1}.1", port,
                                                i == 0))
         shutil.rmtree(run_folder, ignore_errors=True)
-        os.makedirs(self.records)
+        os.makedirs(self.records_folder)
 
     def _settings(self, instance):
         size = sum(1 for other in self.instances if other.data_center == instance.data_center)
@@ -118,7 +118,7 @@
         arguments = ["stand-in", "--name", name, "--service", service, "--listen", f"{ip}:{port}",
                      "--instance", ",".join(it.upstream for it in instances), "--slots", str(slots),
                      "--connections", str(connections), "--service-time", str(self.service_time_ms),
-                     "--seed", str(seed), "--record", os.path.join(self.records, name + ".log"), *self.stand_in_options]
+                     "--seed", str(seed), "--record", os.path.join(self.records_folder, name + ".log"), *self.stand_in_options]
         self.upstreams[name] = self._spawn(name, arguments)
 
     def start_upstreams(self):
