--- a/tools/local_cluster.py
+++ b/tools/local_cluster.py
@@ -118,7 +118,8 @@
         arguments = ["stand-in", "--name", name, "--service", service, "--listen", f"{ip}:{port}",
                      "--instance", ",".join(it.upstream for it in instances), "--slots", str(slots),
                      "--connections", str(connections), "--service-time", str(self.service_time_ms),
-                     "--seed", str(seed), "--record", os.path.join(self.records_folder, name + ".log"), *self.stand_in_options]
+                     "--seed", str(seed), "--record", os.path.join(self.records_folder, name + ".log"),
+                     *self.stand_in_options]
         self.upstreams[name] = self._spawn(name, arguments)
 
     def start_upstreams(self):
--- a/tools/measure_outage.py
+++ b/tools/measure_outage.py
@@ -105,8 +105,8 @@
     if not failed:
         waited = [completed - max(sent, killed_at) for sent, completed, _, _ in after if sent < killed_at + 1]
         return max(waited) * 1000
-    completed = [completed for sent, completed, served, _ in after if served and sent > max(failed)]
-    return (min(completed) - killed_at) * 1000 if completed else None
+    answered = [completed for sent, completed, served, _ in after if served and sent > max(failed)]
+    return (min(answered) - killed_at) * 1000 if answered else None
 
 
 def status_of(cluster, name="a1"):
