--- a/src/app/instance/upstream_dispatch.cpp
+++ b/src/app/instance/upstream_dispatch.cpp
@@ -249,7 +249,7 @@
     if (failure == http_failure::not_connected || failure == http_failure::not_sent) {
         release(request, std::nullopt);
         if (failure == http_failure::not_connected) {
-            on_connection_refused(now);
+            on_connect_failed(now);
         }
         on_not_run(request, refusal::upstream_failed, true);
         return;
@@ -267,7 +267,7 @@
     cancel_attempt(request->attempt_id, [this, request](const http_result& result, const std::string& state) {
         const time_point now = steady_now();
         if (result.failure == http_failure::not_connected) {
-            on_connection_refused(now);
+            on_connect_failed(now);
         }
         if (state == "running" && running_.erase(request->ticket) != 0) {
             hold_slot(request->ticket, request->attempt_id, now + max_slot_hold);
--- a/src/app/instance/upstream_faults.cpp
+++ b/src/app/instance/upstream_faults.cpp
@@ -47,7 +47,7 @@
 void upstream_gate::on_probe_result(const http_result& result) {
     const time_point now = steady_now();
     if (result.failure == http_failure::not_connected) {
-        on_connection_refused(now);
+        on_connect_failed(now);
     } else if (result.failure == http_failure::none) {
         health_.on_probe_answered(now);
         check_silent_requests(now);
@@ -150,7 +150,7 @@
     }
 }
 
-void upstream_gate::on_connection_refused(time_point now) {
+void upstream_gate::on_connect_failed(time_point now) {
     health_.on_connect_refused(now);
     if (recently_disconnected_.empty()) {
         return;
--- a/src/app/instance/upstream_gate.cpp
+++ b/src/app/instance/upstream_gate.cpp
@@ -45,7 +45,7 @@
       queue_(make_queue(shared.settings.routing, row)), retries_({}, row.incarnation),
       health_({}, steady_now()),
       grants_(shared.io, row.address, shared.settings.grant_lease, shared.settings.grant_interval,
-              {[](time_point) {}, [this](time_point now) { on_connection_refused(now); },
+              {[](time_point) {}, [this](time_point now) { on_connect_failed(now); },
                [this](const grant_pusher::load_report& it) {
                    health_.on_reported_load(it.in_flight, it.slots, steady_now());
                }}) {}
--- a/src/app/instance/upstream_gate.h
+++ b/src/app/instance/upstream_gate.h
@@ -98,7 +98,7 @@
     /// `running` means that the request's connection carries no more answers.
     void check_silent_requests(time_point now);
     /// The upstream refused a connection; if others broke shortly before, it counts as crashed.
-    void on_connection_refused(time_point now);
+    void on_connect_failed(time_point now);
     void replace_client();
 
     gate_context& shared_;
