--- a/src/app/instance/upstream_faults.cpp
+++ b/src/app/instance/upstream_faults.cpp
@@ -155,7 +155,7 @@
     if (recently_disconnected_.empty()) {
         return;
     }
-    // Connections broke and new ones are refused: the upstream crashed with these requests in flight.
+    // Connections broke and no new one can be made: the upstream crashed with these requests in flight.
     std::vector<std::string> digests;
     for (const auto& [digest, when] : recently_disconnected_) {
         digests.push_back(digest);
--- a/src/app/instance/upstream_gate.h
+++ b/src/app/instance/upstream_gate.h
@@ -97,7 +97,8 @@
     /// Sends a cancellation for each unanswered request to a responsive upstream. A reported state other than
     /// `running` means that the request's connection carries no more answers.
     void check_silent_requests(time_point now);
-    /// The upstream refused a connection; if others broke shortly before, it counts as crashed.
+    /// A connection to the upstream was refused or not established in time; if others broke shortly before,
+    /// the upstream counts as crashed.
     void on_connect_failed(time_point now);
     void replace_client();
 
