--- a/src/app/stand_in_endpoints.cpp
+++ b/src/app/stand_in_endpoints.cpp
@@ -149,7 +149,7 @@
     answer["epoch"] = std::to_string(holder.epoch());
     const auto load = reported_load();
     answer["load"] = {{"in_flight", load.in_flight}, {"slots", settings_.slots}};
-    worker_.after_revoked_runs(
+    worker_.wait_for_revoked_runs(
         [connection, answer] { connection->answer(json_response(200, answer), answer_damage::none); });
 }
 
--- a/src/app/stand_in_worker.cpp
+++ b/src/app/stand_in_worker.cpp
@@ -215,7 +215,7 @@
     return !in_ranges || scope_.moved_keys.count(task.key) > 0;
 }
 
-void stand_in_worker::after_revoked_runs(std::function<void()> callback) {
+void stand_in_worker::wait_for_revoked_runs(std::function<void()> callback) {
     held_callbacks_.push_back(std::move(callback));
     release_held_callbacks();
 }
--- a/src/app/stand_in_worker.h
+++ b/src/app/stand_in_worker.h
@@ -56,12 +56,13 @@
     void submit(stand_in_task task);
     /// @returns the state that docs/protocol.md lists for /kcs/cancel
     std::string cancel(const std::string& request_id);
-    /// Receives a grant and records it. The caller must acknowledge it only after after_revoked_runs().
+    /// Receives a grant and records it. The caller must acknowledge it only in the callback of
+    /// wait_for_revoked_runs().
     ownership::grant_holder::reply receive_grant(std::uint64_t epoch, std::uint64_t version, duration lease,
                                                  const std::string& token,
                                                  const std::optional<grant_scope>& scope);
-    /// Calls @p callback once no request runs whose key the grant does not cover; at once when none does.
-    void after_revoked_runs(std::function<void()> callback);
+    /// Calls @p callback when no running request has a key outside the grant any more; at once when none has.
+    void wait_for_revoked_runs(std::function<void()> callback);
 
     ownership::grant_holder& holder() noexcept { return holder_; }
     const ownership::grant_holder& holder() const noexcept { return holder_; }
@@ -92,7 +93,7 @@
     void record_run_event(const stand_in_task& task, bool start, time_point at);
     void record_grant_event(bool with_scope, time_point at);
     bool is_outside_grant(const stand_in_task& task) const;
-    /// Calls the held callbacks of after_revoked_runs() when no revoked request runs any more.
+    /// Calls the held callbacks of wait_for_revoked_runs() when no revoked request runs any more.
     void release_held_callbacks();
     void remember(std::unordered_set<std::string>& ids, const std::string& id);
 
