--- a/include/kingcupseam/metrics.h
+++ b/include/kingcupseam/metrics.h
@@ -52,7 +52,7 @@
     std::uint64_t quantile(double fraction) const;
     /// For each of the @p bounds, the count of the values up to it. A bucket that extends beyond the bound is
     /// left out, so the count is never too high.
-    std::vector<std::uint64_t> cumulative(const std::vector<std::uint64_t>& bounds) const;
+    std::vector<std::uint64_t> cumulative_counts(const std::vector<std::uint64_t>& bounds) const;
     /// Adds the values that @p other has recorded.
     void merge(const histogram& other);
 
--- a/src/metrics/histogram.cpp
+++ b/src/metrics/histogram.cpp
@@ -169,7 +169,7 @@
     return all.summary.max;
 }
 
-std::vector<std::uint64_t> histogram::cumulative(const std::vector<std::uint64_t>& bounds) const {
+std::vector<std::uint64_t> histogram::cumulative_counts(const std::vector<std::uint64_t>& bounds) const {
     const totals all = state_->collect();
     std::vector<std::uint64_t> result;
     result.reserve(bounds.size());
--- a/src/metrics/registry.cpp
+++ b/src/metrics/registry.cpp
@@ -84,7 +84,7 @@
 
 void append_histogram(std::string& out, const std::string& name, const label_set& labels,
                       const histogram& source) {
-    const auto counts = source.cumulative(bucket_bounds_us);
+    const auto counts = source.cumulative_counts(bucket_bounds_us);
     // Values recorded between the two calls must not make the total smaller than a bucket.
     const std::uint64_t total = std::max(source.count(), counts.back());
     for (std::size_t n = 0; n < counts.size(); ++n) {
--- a/tests/metrics/metrics_test.cpp
+++ b/tests/metrics/metrics_test.cpp
@@ -38,7 +38,7 @@
             }
         }
         SUBCASE("cumulative counts are never too high") {
-            const auto counts = latencies.cumulative({7, 100, 1000, 10'000});
+            const auto counts = latencies.cumulative_counts({7, 100, 1000, 10'000});
             CHECK(counts[0] == 7);
             CHECK(counts[1] <= 100);
             CHECK(counts[1] >= 87);
