--- a/src/app/stand_in_endpoints.h
+++ b/src/app/stand_in_endpoints.h
@@ -33,7 +33,7 @@
     /// Renews the held grant with the token and lease in the headers of a request.
     void renew_grant(const http_request& request, std::uint64_t epoch);
     void handle_grant(const http_request& request, const stand_in_connection_ptr& connection);
-    /// The control endpoints that are answered at once, which are all but /kcs/grant.
+    /// Answers the control endpoints other than /kcs/grant, whose answer may have to wait.
     http_response handle_control(const http_request& request);
     http_response handle_cancel(const http_request& request);
     http_response handle_health() const;
