--- a/src/app/stand_in_endpoints.cpp
+++ b/src/app/stand_in_endpoints.cpp
@@ -236,7 +236,8 @@
 void stand_in_endpoints::sample_load() {
     const auto now = steady_now();
     load_samples_.push_back({now, worker_.running(), worker_.waiting()});
-    // Makes the newest sample that is at least as old as the lag the first one, which is reported.
+    // Drops outdated samples, so that the first one, which is reported, is the newest that is at least as old
+    // as the lag.
     while (load_samples_.size() > 1 && load_samples_[1].at + settings_.load_lag <= now) {
         load_samples_.pop_front();
     }
