--- a/src/app/stand_in.cpp
+++ b/src/app/stand_in.cpp
@@ -60,7 +60,7 @@
         poll_drain();
     }
     void poll_drain() {
-        // Idle at two polls in a row, so that the last answers have been sent.
+        // Waits for two idle polls in a row, so that the last answers have been sent.
         idle_polls_ = endpoints_.drained() ? idle_polls_ + 1 : 0;
         if (idle_polls_ == 2 || steady_now() >= drain_deadline_) {
             spdlog::info("{} exits", settings_.name);
