--- a/src/app/stand_in_options.h
+++ b/src/app/stand_in_options.h
@@ -48,7 +48,7 @@
     duration service_time{};             ///< mean time of an execution
     double service_time_spread = 0;      ///< sigma of the lognormal distribution; 0: fixed
     double cold_start = 1;               ///< factor on the service time at the start; declines to 1
-    duration cold_start_period{};        ///< time of the decline
+    duration cold_start_period{};        ///< time in which the factor declines to 1
     duration load_lag{};                 ///< age of the reported load
     double load_misreport = 1;           ///< factor on the reported load
     duration late_by{};                  ///< delay of late answers
