--- a/src/app/load_options.h
+++ b/src/app/load_options.h
@@ -49,9 +49,9 @@
     /// Probability of an unprompted duplicate of an at-most-once request, and of resending it after each lost
     /// or unknown attempt.
     double resend_fraction = 0;
-    duration timeout{}; ///< of each attempt
-    std::array<duration, rank_count> late_after{};
-    std::size_t connections = 512; ///< maximum to each address
+    duration timeout{};                            ///< of each attempt
+    std::array<duration, rank_count> late_after{}; ///< latency above which an answer counts as late
+    std::size_t connections = 512;                 ///< maximum to each address
     std::size_t body_bytes = 64;
     std::uint64_t seed = 1;
     std::filesystem::path record_folder; ///< run records of the stand-ins to judge; empty: none
