--- a/src/app/load_options.cpp
+++ b/src/app/load_options.cpp
@@ -124,7 +124,7 @@
 void read_workload_options(const option_parser& parser, load_options& result) {
     result.addresses = parser.endpoints("address");
     result.firm = parser.text("firm");
-    requests_of_firm(result.firm);
+    requests_of_firm(result.firm); // throws when the firm is unknown
     result.rates = read_rates(parser);
     result.length = parser.seconds("duration", 0, max_seconds);
     result.warmup = parser.seconds("warmup", 0, max_seconds);
