--- a/src/app/load_runner.h
+++ b/src/app/load_runner.h
@@ -30,7 +30,7 @@
         // Each flag is set when any of the attempts had this result.
         bool correct = false;        ///< an undamaged answer to this request
         bool wrong = false;          ///< a damaged answer, or one to another request
-        bool double_run = false;     ///< at-most-once: an answer of another execution than the first answer
+        bool double_run = false;     ///< at-most-once only: two answers are of different executions
         bool unknown = false;        ///< the outcome was unknown
         bool lost = false;           ///< no complete answer after the request was sent
         bool failed = false;         ///< no address accepted it, or the answer had no outcome
@@ -43,8 +43,8 @@
     void send_due_requests();
     void start_request(const planned_request& plan);
     void send_attempt(const request_ptr& request);
-    /// Sends to the address that follows @p first by @p tries positions; tries the next one, up to all of
-    /// them, while the request could not be sent.
+    /// Sends to the address at the index @p first + @p tries, modulo the number of addresses. While the
+    /// request cannot be sent, tries the next one until every address has been tried.
     void send_to(const request_ptr& request, std::size_t first, std::size_t tries);
     void schedule_attempt(const request_ptr& request, duration delay);
     http_call make_call(const pending_request& request, std::size_t address) const;
