--- a/include/kingcupseam/wire.h
+++ b/include/kingcupseam/wire.h
@@ -55,8 +55,9 @@
     return value;
 }
 
-/// Decodes a stored or replicated value. All members must have the same bytes of it, so only the exact
-/// encoding of to_bytes() is accepted: no unknown fields, no other order of fields and no trailing bytes.
+/// Decodes a stored or replicated value. All members of a group must store the same bytes for it, so only
+/// the exact encoding of to_bytes() is accepted: no unknown fields, no other order of fields and no trailing
+/// bytes.
 /// @param source name of the value in error messages
 /// @throws invalid_input
 template <class T>
