--- a/src/main.cpp
+++ b/src/main.cpp
@@ -29,7 +29,7 @@
     {"status", "show owners, gates, groups and instances", run_status},
     {"explain", "merge the log lines of all processes about one request", run_explain},
     {"stand-in", "run a model of an upstream, for experiments", run_stand_in},
-    {"load", "send load and report service per rank, for experiments", run_load},
+    {"load", "send load and report outcomes and latency per rank, for experiments", run_load},
 }};
 
 void print_usage(std::FILE* out) {
