--- a/tests/app/stand_in_test.cpp
+++ b/tests/app/stand_in_test.cpp
@@ -65,7 +65,7 @@
         REQUIRE(result->has_value());
         return **result;
     }
-    /// Sends a grant as a gate does, with the token of the reply to the grant before, and keeps the new
+    /// Sends a grant as a gate does, with the token from the reply to the previous grant, and keeps the new
     /// token.
     http_result push_grant(const std::string& epoch, const std::string& version, const json& shards,
                            int lease_ms = 5000) {
@@ -80,8 +80,8 @@
         }
         return result;
     }
-    /// Grants all shards. Needs two grants: only the second has a token of the stand-in, from which its lease
-    /// counts.
+    /// Grants all shards. Needs two grants: only the second carries a token of the stand-in, and the lease
+    /// starts when that token was issued.
     void grant_all_shards() {
         push_grant("5", "1", json::array({{0, 99}}));
         push_grant("5", "1", json::array({{0, 99}}));
@@ -126,7 +126,7 @@
 
 // Guards against a stand-in that runs requests which a real upstream must refuse, or that acknowledges a
 // revocation while a revoked request still runs.
-TEST_CASE_FIXTURE(fixture, "a stand-in runs a key only under a live grant") {
+TEST_CASE_FIXTURE(fixture, "a stand-in runs a request only under a live grant of its key") {
     SUBCASE("the answer echoes the request and counts the key's executions") {
         start();
         grant_all_shards();
@@ -142,7 +142,7 @@
         CHECK(wait_for(send_request("r1")).answer.status == 421);
         CHECK(fetch_report().at("started") == 0);
     }
-    SUBCASE("a lease starts when its token was issued, and ends") {
+    SUBCASE("a lease starts at the time its token was issued, and expires") {
         start();
         push_grant("5", "1", json::array({{0, 99}}));
         run_for(150ms);
@@ -215,8 +215,8 @@
     }
 }
 
-// Guards against experiments with unreliable load reports in which the configured lag or factor has no
-// effect.
+// Guards against a configured lag or factor of the load report that has no effect, so that experiments with
+// unreliable load reports test nothing.
 TEST_CASE_FIXTURE(fixture, "the reported load can be delayed and scaled") {
     settings.load_lag = 10s;
     settings.load_misreport = 5;
@@ -237,7 +237,7 @@
     }
 }
 
-// Guards against a simulated fault that the caller sees otherwise than the real one, so that tests of it
+// Guards against a simulated fault that does not look to the caller like the real one, so that tests with it
 // prove nothing.
 TEST_CASE_FIXTURE(fixture, "the caller sees each simulated fault as it would see the real one") {
     start();
