--- a/tests/app/worker_test.cpp
+++ b/tests/app/worker_test.cpp
@@ -8,7 +8,7 @@
 
 // Destroying a std::thread that has not been joined ends the program, so an exception that destroys the owner
 // of a running worker must stop and join its thread.
-TEST_CASE("a running worker that an exception destroys joins its thread") {
+TEST_CASE("a worker that is destroyed while it runs joins its thread") {
     const auto fail = [] {
         worker it;
         it.start();
