--- a/tests/app/options_test.cpp
+++ b/tests/app/options_test.cpp
@@ -14,7 +14,7 @@
 using namespace kingcupseam::app;
 using namespace std::chrono_literals;
 
-// Guards against a load with other values than its options name, and invalid values that are accepted.
+// Guards against load options that are misread, and invalid values that are accepted.
 TEST_CASE("load options are parsed and invalid ones are refused") {
     const arguments base{"--address", "127.0.0.1:80,127.0.0.1:81"};
     const auto parse_with = [&](arguments more) {
@@ -61,7 +61,7 @@
     }
 }
 
-// Guards against a stand-in with other values than its options name, and invalid values that are accepted.
+// Guards against stand-in options that are misread, and invalid values that are accepted.
 TEST_CASE("stand-in options are parsed and invalid ones are refused") {
     const arguments base{"--name", "u1", "--service", "registry", "--listen", "127.0.0.1:90"};
     const auto parse_with = [&](arguments more) {
