--- a/tests/app/run_judge_test.cpp
+++ b/tests/app/run_judge_test.cpp
@@ -115,7 +115,8 @@
     }
 }
 
-// Guards against a judge that misses two owners of one shard, or reports a planned change of owner as such.
+// Guards against a judge that misses two owners of one shard, or reports a planned change of owner as double
+// ownership.
 TEST_CASE("overlapping grants of one shard to two upstreams are double ownership") {
     const auto a = record("a").grant(10, 100, one_shard(3));
     SUBCASE("a grant that begins when the other ends does not overlap") {
