--- a/tests/app/explain_test.cpp
+++ b/tests/app/explain_test.cpp
@@ -56,8 +56,8 @@
     }
 }
 
-// Guards against output that leaves out the lines of some processes: an engineer on call has the id of a
-// failed request and the logs of all processes.
+// Guards against output that leaves out the lines of some processes: an engineer on call, who has the id of a
+// failed request and the logs of all processes, would miss the cause.
 TEST_CASE("explain merges the lines of all processes about a request") {
     const test::temporary_folder folder;
     const auto entry = folder.path() / "entry.log";
@@ -77,7 +77,8 @@
     const app::arguments logs{entry.string(), control.string()};
     const auto explain_id = [&](const std::string& id) { return explain({id, logs[0], logs[1]}); };
 
-    SUBCASE("with the meaning of the reason, the upstream's other failures and its new registration") {
+    SUBCASE(
+        "the output has the meaning of the reason, the upstream's other failures and its new registration") {
         const auto result = explain_id("a1");
         CHECK(result.code == app::exit_success);
         CHECK(contains(result.out, "13:11:43.500 entry-1"));
