--- a/tests/transport/link_test.cpp
+++ b/tests/transport/link_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-const endpoint_address listen_address{"127.0.0.1", 39411};
+const endpoint_address listen_address{"127.0.0.1", 31411};
 constexpr auto test_limit = 3s;
 
 bool run_until(asio::io_context& context, const std::function<bool()>& condition) {
@@ -128,11 +128,11 @@
 TEST_CASE("datagrams reach the other channel, and oversize ones are dropped") {
     asio::io_context context;
     std::string received;
-    datagram_channel b(context, {"127.0.0.1", 39412},
+    datagram_channel b(context, {"127.0.0.1", 31412},
                        [&](const endpoint_address&, std::string_view it) { received = it; });
-    datagram_channel a(context, {"127.0.0.1", 39413}, [](const endpoint_address&, std::string_view) {});
-    a.send({"127.0.0.1", 39412}, std::string(max_datagram_bytes + 1, 'x'));
-    a.send({"127.0.0.1", 39412}, "probe");
+    datagram_channel a(context, {"127.0.0.1", 31413}, [](const endpoint_address&, std::string_view) {});
+    a.send({"127.0.0.1", 31412}, std::string(max_datagram_bytes + 1, 'x'));
+    a.send({"127.0.0.1", 31412}, "probe");
     CHECK(run_until(context, [&] { return !received.empty(); }));
     CHECK(received == "probe");
 }
@@ -166,7 +166,7 @@
         CHECK(run_until(context, [&] { return same; }));
     }
     SUBCASE("also with a peer that does not compress") {
-        const endpoint_address other{"127.0.0.1", 39412};
+        const endpoint_address other{"127.0.0.1", 31412};
         peer_server plain(context, other, identity("c"), {}, echo);
         peer_link to_plain(context, other, identity("a"), settings, nullptr);
         REQUIRE(run_until(context, [&] { return to_plain.up(); }));
@@ -198,12 +198,12 @@
         SUBCASE("and waits for a reply longer than the heartbeat timeout while the peer is alive") {
             std::shared_ptr<connection> requester;
             frame received_request;
-            peer_server slow(context, {"127.0.0.1", 39413}, identity("c"), settings,
+            peer_server slow(context, {"127.0.0.1", 31413}, identity("c"), settings,
                              [&](const std::shared_ptr<connection>& from, frame received) {
                                  requester = from;
                                  received_request = std::move(received);
                              });
-            peer_link to_slow(context, {"127.0.0.1", 39413}, identity("a"), settings, nullptr);
+            peer_link to_slow(context, {"127.0.0.1", 31413}, identity("a"), settings, nullptr);
             REQUIRE(run_until(context, [&] { return to_slow.up(); }));
             std::optional<reply> answer;
             to_slow.request({frame_type::forward_request, 0, "x"}, 1s, [&](const reply& it) { answer = it; });
